--- a/src/main/java/terndyke/adapter/BatchReader.java
+++ b/src/main/java/terndyke/adapter/BatchReader.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-import terndyke.api.DeliveryTerms;
+import terndyke.api.DeliverySettings;
 import terndyke.api.Ending;
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 
 /** Decodes one batch frame. Each item comes with the instance it is for; lists by number last over batches. */
 final class BatchReader {
@@ -22,7 +22,7 @@
     private static final Ending[] ENDINGS = Arrays.copyOf(Ending.values(), Ending.NOT_SENT.ordinal() + 1); // by code
 
     /** One thing told to an instance: exactly one of terms, event and exit is set. */
-    record Item(int instance, DeliveryTerms terms, Event event, boolean exit) { }
+    record Item(int instance, DeliverySettings terms, Event event, boolean exit) { }
 
     /** A decoded frame. */
     record Batch(long now, List<Item> items) { }
@@ -79,24 +79,24 @@
     private Event event(int code) throws WireException {
         return switch (code) {
             case 2 -> list();
-            case 3 -> new Event.RecordTaken(frame.getLong(at + 2), u16(10), frame.getInt(at + 12),
+            case 3 -> new Event.RecordAccepted(frame.getLong(at + 2), u16(10), frame.getInt(at + 12),
                     frame.getLong(at + 16), micros(24), (u8(44) & 1) != 0 ? micros(32) : 0,
                     (int) frame.getFloat(at + 40), (u8(44) & 2) != 0, (u8(44) & 4) != 0, (u8(44) & 16) != 0);
-            case 4 -> new Event.AnswerStarted(frame.getLong(at + 2), u8(10), endpoint(at + 11), micros(17));
+            case 4 -> new Event.ResponseStarted(frame.getLong(at + 2), u8(10), endpoint(at + 11), micros(17));
             case 5 -> new Event.ShotEnded(frame.getLong(at + 2), u8(29), endpoint(at + 10), ending(28), micros(16),
                     ending(28) == Ending.FULL ? (frame.getInt(at + 24) & 0xffffffffL) * 1000 : 0,
                     ending(28) == Ending.NOT_SENT && frame.getInt(at + 24) == 1, u8(30) != 0, report(31));
             case 6 -> new Event.RecordWithdrawn(frame.getLong(at + 2));
-            case 7 -> new Event.Woken(frame.getInt(at + 2));
+            case 7 -> new Event.TimerExpired(frame.getInt(at + 2));
             case 8 -> new Event.ProbeEnded(endpoint(at + 2), ending(8), micros(9), report(17));
-            default -> new Event.NoteReceived(u16(2), bytes(4));
+            default -> new Event.PeerMessageReceived(u16(2), bytes(4));
         };
     }
 
     private Event list() throws WireException {
         int kind = u8(11);
         if (kind == 2) {
-            return new Event.ListFailed();
+            return new Event.ListRequestFailed();
         }
         if (kind > 3) {
             throw new WireException("VIEW of unknown kind " + kind);
@@ -105,7 +105,7 @@
         if (entries == null) {
             throw new WireException("VIEW names list " + u8(10) + ", which no CENSUS has brought");
         }
-        return new Event.ListTold(entries, kind != 0);
+        return new Event.ListReceived(entries, kind != 0);
     }
 
     private List<ListedEndpoint> entries() throws WireException {
@@ -117,10 +117,10 @@
         List<ListedEndpoint> entries = new ArrayList<>((int) count);
         for (int i = 0; i < count; i++) {
             int p = (int) (tail + from) + i * ENTRY;
-            Standing standing = switch (frame.get(p + 12)) {
-                case 0 -> Standing.GONE;
-                case 1 -> Standing.READY;
-                case 2 -> Standing.DRAINING;
+            EndpointState standing = switch (frame.get(p + 12)) {
+                case 0 -> EndpointState.GONE;
+                case 1 -> EndpointState.READY;
+                case 2 -> EndpointState.DRAINING;
                 default -> throw new WireException("CENSUS entry " + i + ": unknown readiness " + frame.get(p + 12));
             };
             entries.add(new ListedEndpoint(endpoint(p), frame.get(p + 6) & 0xff, frame.get(p + 7) & 0xff,
--- a/src/main/java/terndyke/adapter/BenchAdapter.java
+++ b/src/main/java/terndyke/adapter/BenchAdapter.java
@@ -81,7 +81,7 @@
 
     private void act(int number, long now, List<Event> events) {
         try {
-            List<Action> actions = instances.get(number).turn(now, events);
+            List<Action> actions = instances.get(number).handleEvents(now, events);
             if (!actions.isEmpty()) {
                 writer.instance(number);
                 actions.forEach(writer::action);
--- a/src/main/java/terndyke/adapter/ReplyWriter.java
+++ b/src/main/java/terndyke/adapter/ReplyWriter.java
@@ -26,39 +26,39 @@
     }
 
     void action(Action action) {
-        if (action instanceof Action.Shoot shoot) {
+        if (action instanceof Action.SendShot shoot) {
             next(6);
             records.putLong(at + 2, shoot.id());
             endpoint(10, shoot.endpoint());
-            records.putDouble(at + 16, shoot.notPast() / 1e6);
-        } else if (action instanceof Action.Wake wake) {
+            records.putDouble(at + 16, shoot.deadline() / 1e6);
+        } else if (action instanceof Action.StartTimer wake) {
             next(8);
             records.putDouble(at + 2, wake.delay() / 1e6);
             records.putInt(at + 10, wake.token());
         } else if (action instanceof Action.Recall recall) {
             next(4);
             records.putLong(at + 2, recall.id());
-            records.put(at + 10, (byte) recall.shot());
+            records.put(at + 10, (byte) recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce) {
             next(12);
             records.putLong(at + 2, bounce.id());
-            records.putDouble(at + 10, bounce.stayAway() / 1e6);
+            records.putDouble(at + 10, bounce.retryAfter() / 1e6);
         } else if (action instanceof Action.Terminate terminate) {
             next(3);
             records.putLong(at + 2, terminate.id());
         } else if (action instanceof Action.Probe probe) {
             next(10);
             endpoint(2, probe.endpoint());
-        } else if (action instanceof Action.DropConnections drop) {
+        } else if (action instanceof Action.CloseIdleConnections drop) {
             next(11);
             endpoint(2, drop.endpoint());
-        } else if (action instanceof Action.SendNote note) {
+        } else if (action instanceof Action.SendPeerMessage note) {
             next(9);
             records.putShort(at + 2, (short) note.peer());
             content(4, note.content());
-        } else if (action instanceof Action.FollowList follow) {
+        } else if (action instanceof Action.SetListSubscription follow) {
             next(5);
-            records.put(at + 2, (byte) (follow.on() ? 1 : 0));
+            records.put(at + 2, (byte) (follow.subscribed() ? 1 : 0));
         } else if (action instanceof Action.FetchList) {
             next(1);
         } else if (action instanceof Action.Log log) {
--- a/src/main/java/terndyke/adapter/TermsReader.java
+++ b/src/main/java/terndyke/adapter/TermsReader.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.function.Function;
 
-import terndyke.api.DeliveryTerms;
-import terndyke.api.DeliveryTerms.ListedRates;
+import terndyke.api.DeliverySettings;
+import terndyke.api.DeliverySettings.ListedRateAccuracy;
 import terndyke.api.ServiceGrade;
-import terndyke.api.ServiceGrade.Effect;
+import terndyke.api.ServiceGrade.RepeatSemantics;
 
 /** Reads path=value settings into delivery terms, for the wire and for the node. Unknown keys are passed over. */
 public final class TermsReader {
@@ -19,7 +19,7 @@
         this.values = values;
     }
 
-    static DeliveryTerms read(long seed, String text) throws WireException {
+    static DeliverySettings read(long seed, String text) throws WireException {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
             if (line.isBlank()) {
@@ -35,12 +35,12 @@
     }
 
     /** Reads settings that are flat already: a list of plain values is joined by commas. */
-    public static DeliveryTerms read(long seed, Map<String, String> values, boolean endsTold)
+    public static DeliverySettings read(long seed, Map<String, String> values, boolean endsTold)
             throws WireException {
         return new TermsReader(values).terms(seed, endsTold);
     }
 
-    private DeliveryTerms terms(long seed, boolean endsTold) throws WireException {
+    private DeliverySettings terms(long seed, boolean endsTold) throws WireException {
         List<ServiceGrade> grades = new ArrayList<>();
         int count = whole("classes.count");
         for (int i = 0; i < count; i++) {
@@ -52,7 +52,7 @@
             quotas.add(number("tenants." + i + ".quotaPerS"));
         }
         List<String> reported = list("report.fields");
-        return new DeliveryTerms(seed, whole("balancers"), whole("rank"), whole("zone"), whole("familyInfo.callsOut"),
+        return new DeliverySettings(seed, whole("balancers"), whole("rank"), whole("zone"), whole("familyInfo.callsOut"),
                 whole("ceilings.maxOpen"), whole("ceilings.maxAttempts"), flag("ceilings.secondCopies"),
                 flag("ceilings.cancelling"), flag("ceilings.probes"),
                 flag("ceilings.retryAfter") ? micros("ceilings.maxRetryAfter", 0) : 0, choice("discovery", "push", "ask").equals("ask"),
@@ -67,11 +67,11 @@
                 price("costs.crossZone", 0), price("costs.handshake", 0));
     }
 
-    private ListedRates listed() throws WireException {
+    private ListedRateAccuracy listed() throws WireException {
         return switch (choice("weightSource", "off", "rough", "nominal")) {
-            case "off" -> ListedRates.NONE;
-            case "nominal" -> ListedRates.TRUE;
-            default -> ListedRates.ROUGH;
+            case "off" -> ListedRateAccuracy.NONE;
+            case "nominal" -> ListedRateAccuracy.EXACT;
+            default -> ListedRateAccuracy.ROUGH;
         };
     }
 
@@ -102,10 +102,10 @@
     }
 
     private ServiceGrade grade(String at) throws WireException {
-        Effect effect = switch (text(at + "semantics")) {
-            case "retryable" -> Effect.IDEMPOTENT;
-            case "dedup" -> Effect.DEDUPLICATED;
-            case "fragile" -> Effect.UNREPEATABLE;
+        RepeatSemantics effect = switch (text(at + "semantics")) {
+            case "retryable" -> RepeatSemantics.IDEMPOTENT;
+            case "dedup" -> RepeatSemantics.DEDUPLICATED;
+            case "fragile" -> RepeatSemantics.UNREPEATABLE;
             default -> throw new WireException("ATTACH: setting " + at + "semantics is " + text(at + "semantics"));
         };
         boolean any = has(at + "group") && text(at + "group").equals("all");
--- a/src/main/java/terndyke/api/Action.java
+++ b/src/main/java/terndyke/api/Action.java
@@ -7,34 +7,34 @@
      * Fire the next shot for a record; it is dropped at the clock time notPast. Where its first byte has not left by
      * the clock time startBy it does not leave at all, and counts as not sent.
      */
-    record Shoot(long id, long endpoint, long notPast, long startBy) implements Action { }
+    record SendShot(long id, long endpoint, long deadline, long startBy) implements Action { }
 
     /** Calls to an endpoint that have not begun to leave do not leave; they count as not sent. */
-    record Withhold(long endpoint) implements Action { }
+    record CancelUnsentCalls(long endpoint) implements Action { }
 
     /** Stop waiting for a shot. */
-    record Recall(long id, int shot) implements Action { }
+    record Recall(long id, int shotIndex) implements Action { }
 
     /** Final answer: handed back, harmless to try again after stayAway. */
-    record Bounce(long id, long stayAway) implements Action { }
+    record Bounce(long id, long retryAfter) implements Action { }
 
     /** Final answer: given up, with no promise about the effect. */
     record Terminate(long id) implements Action { }
 
     /** Wake the dispatcher after a while. */
-    record Wake(long delay, int token) implements Action { }
+    record StartTimer(long delay, int token) implements Action { }
 
     /** Check an endpoint. */
     record Probe(long endpoint) implements Action { }
 
     /** Close this node's idle connections to an endpoint. */
-    record DropConnections(long endpoint) implements Action { }
+    record CloseIdleConnections(long endpoint) implements Action { }
 
     /** Send a note to another delivery node, or to all where the peer is ALL_PEERS. */
-    record SendNote(int peer, byte[] content) implements Action { }
+    record SendPeerMessage(int peer, byte[] content) implements Action { }
 
     /** Ask for changes of the list from now on, or end that. */
-    record FollowList(boolean on) implements Action { }
+    record SetListSubscription(boolean subscribed) implements Action { }
 
     /** Ask for the whole list once. */
     record FetchList() implements Action { }
--- a/src/main/java/terndyke/decision/Dispatcher.java
+++ b/src/main/java/terndyke/decision/Dispatcher.java
@@ -4,435 +4,435 @@
 import java.util.function.Predicate;
 
 import terndyke.api.*;
-import terndyke.decision.Held.*;
+import terndyke.decision.PendingRecord.*;
 
 /** One entry point: turn() takes what happened and returns what is to be done. The design (RoutePicker over
  * Route's fits) decides where records go, and a sick destination holds at most half of the slots. Beside it
  * stand six mechanisms: (1) the pace learned from refusals and (2) suspicion of an outage with its budgeted
  * return, in Destination; (3) late shots, (4) payoff order, (5) holding room here; (6) key lines in Held. */
 public final class Dispatcher {
-    private static final double R_HAT = 0.9, COPY_SHARE = 0.1; // copies that each first shot earns
-    private static final long STEP = 20_000, RETRY_REST = 100_000, SOON = 300_000, LATER = 6_000_000;
-
-    private final DeliveryTerms terms;
-    private final Map<Integer, Addressee> addressees = new LinkedHashMap<>();
-    private final Map<Integer, Outcomes> halls = new HashMap<>();
-    private final Map<Long, Route> routes = new LinkedHashMap<>();
-    private final Set<Destination> busy = new LinkedHashSet<>(); // with calls out, or suspect
-    private final Set<Route> quiet = new LinkedHashSet<>(); // those whose connections may go after this turn
-    private final Set<Addressee> queued = new LinkedHashSet<>(); // with records that wait
-    private final Map<Long, Held> held = new HashMap<>();
-    private final Map<Long, KeyLine> lines = new HashMap<>(), untold = new HashMap<>(); // by key; by record
-    private final TreeSet<Held> byEnd = new TreeSet<>(
-            Comparator.comparingLong((Held held) -> held.abandonAt).thenComparingLong(held -> held.id));
-    private final Random chance;
-    private final Map<Integer, Long> shareUsed = new HashMap<>(); // by tenant: until when
-    private final Map<Integer, Kind> kinds = new HashMap<>();
+    private static final double TARGET_RELIABILITY = 0.9, COPIES_PER_FIRST_SHOT = 0.1; // copies that each first shot earns
+    private static final long TICK_INTERVAL_MICROS = 20_000, RETRY_BACKOFF_MICROS = 100_000, SHORT_HORIZON_MICROS = 300_000, LONG_HORIZON_MICROS = 6_000_000;
+
+    private final DeliverySettings settings;
+    private final Map<Integer, DestinationState> destinationStates = new LinkedHashMap<>();
+    private final Map<Integer, OutcomeHistory> outcomesByHall = new HashMap<>();
+    private final Map<Long, Route> routesByEndpoint = new LinkedHashMap<>();
+    private final Set<FailureDomain> activeDomains = new LinkedHashSet<>(); // with calls out, or suspect
+    private final Set<Route> idleCloseCandidates = new LinkedHashSet<>(); // those whose connections may go after this turn
+    private final Set<DestinationState> destinationsWithWaitingRecords = new LinkedHashSet<>(); // with records that wait
+    private final Map<Long, PendingRecord> recordsById = new HashMap<>();
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>(), undeliveredAnswers = new HashMap<>(); // by key; by record
+    private final TreeSet<PendingRecord> recordsByAbandonTime = new TreeSet<>(
+            Comparator.comparingLong((PendingRecord held) -> held.abandonAt).thenComparingLong(held -> held.id));
+    private final Random random;
+    private final Map<Integer, Long> quotaUsedUntil = new HashMap<>(); // by tenant: until when
+    private final Map<Integer, EndpointKind> endpointKinds = new HashMap<>();
     private List<Action> actions;
-    private final int[] sent = new int[2], lost = new int[2]; // calls on new connections, on kept; halved
-    private long now, wakeAt, asksAt, leavesAt = Long.MAX_VALUE;
-    private int slotsOut, sickOut, failedAsks; // calls out, in all and at sick destinations; for the list
-    private double copyCredit;
-
-    public Dispatcher(DeliveryTerms terms) {
-        this.terms = terms;
-        chance = new Random(terms.seed());
-        asksAt = terms.listOnRequest() ? 0 : Long.MAX_VALUE;
+    private final int[] endedCalls = new int[2], lostCalls = new int[2]; // calls on new connections, on kept; halved
+    private long now, nextTickAt, nextListRequestAt, shutdownAt = Long.MAX_VALUE;
+    private int inFlightCallCount, degradedCallCount, failedListRequests; // calls out, in all and at sick destinations; for the list
+    private double copyBudget;
+
+    public Dispatcher(DeliverySettings terms) {
+        this.settings = terms;
+        random = new Random(terms.seed());
+        nextListRequestAt = terms.listOnRequest() ? 0 : Long.MAX_VALUE;
     }
 
-    public List<Action> turn(long time, List<Event> events) {
+    public List<Action> handleEvents(long time, List<Event> events) {
         now = time;
         actions = new ArrayList<>();
-        events.forEach(this::take);
-        if (now >= wakeAt) {
+        events.forEach(this::handleEvent);
+        if (now >= nextTickAt) {
             tick();
         }
         dispatch();
-        makeRoom();
-        if (now >= asksAt) {
-            asksAt = Long.MAX_VALUE;
-            actions.add(new Action.FollowList(true));
+        bounceExcessRecords();
+        if (now >= nextListRequestAt) {
+            nextListRequestAt = Long.MAX_VALUE;
+            actions.add(new Action.SetListSubscription(true));
         }
-        quiet.removeIf(this::makesRoom);
-        if (wakeAt <= now && !(byEnd.isEmpty() && asksAt == Long.MAX_VALUE)) {
-            wakeAt = now + STEP;
-            actions.add(new Action.Wake(STEP, 0));
+        idleCloseCandidates.removeIf(this::closeIfRarelyUsed);
+        if (nextTickAt <= now && !(recordsByAbandonTime.isEmpty() && nextListRequestAt == Long.MAX_VALUE)) {
+            nextTickAt = now + TICK_INTERVAL_MICROS;
+            actions.add(new Action.StartTimer(TICK_INTERVAL_MICROS, 0));
         }
         return actions;
     }
 
-    private void take(Event event) {
-        if (event instanceof Event.RecordTaken taken) {
-            taken(taken);
-        } else if (event instanceof Event.RecordOwed owed) {
-            owed(owed);
+    private void handleEvent(Event event) {
+        if (event instanceof Event.RecordAccepted taken) {
+            acceptRecord(taken);
+        } else if (event instanceof Event.RecordRestored owed) {
+            restoreRecord(owed);
         } else if (event instanceof Event.ShotEnded ended) {
-            shotEnded(ended);
-        } else if (event instanceof Event.ListTold told) {
-            listTold(told);
-            failedAsks = 0;
-        } else if (event instanceof Event.ListFailed && terms.listOnRequest()) { // all may ask: after a while
-            asksAt = now + (long) ((0.5 + chance.nextDouble()) * (SOON << Math.min(3, failedAsks++)));
-        } else if (event instanceof Event.ProbeEnded probe && routes.containsKey(probe.endpoint())) {
-            Route route = routes.get(probe.endpoint());
-            route.destination.probeEnded(now, probe.ending(), probe.report());
-            lookForRoom(route, probe.ending());
-        } else if (event instanceof Event.EndTold told && untold.containsKey(told.id())) {
-            untold.remove(told.id()).strays--;
-        } else if (event instanceof Event.NodeLeaving leaving) {
-            leavesAt = now + leaving.within();
-        } else if (event instanceof Event.RecordWithdrawn gone && held.containsKey(gone.id())) {
-            over(held.get(gone.id()));
+            handleShotEnded(ended);
+        } else if (event instanceof Event.ListReceived told) {
+            updateEndpoints(told);
+            failedListRequests = 0;
+        } else if (event instanceof Event.ListRequestFailed && settings.listOnRequest()) { // all may ask: after a while
+            nextListRequestAt = now + (long) ((0.5 + random.nextDouble()) * (SHORT_HORIZON_MICROS << Math.min(3, failedListRequests++)));
+        } else if (event instanceof Event.ProbeEnded probe && routesByEndpoint.containsKey(probe.endpoint())) {
+            Route route = routesByEndpoint.get(probe.endpoint());
+            route.failureDomain.probeEnded(now, probe.ending(), probe.loadReport());
+            checkConnectionLimit(route, probe.ending());
+        } else if (event instanceof Event.FinalAnswerDelivered told && undeliveredAnswers.containsKey(told.id())) {
+            undeliveredAnswers.remove(told.id()).outstandingCount--;
+        } else if (event instanceof Event.NodeShuttingDown leaving) {
+            shutdownAt = now + leaving.gracePeriod();
+        } else if (event instanceof Event.RecordWithdrawn gone && recordsById.containsKey(gone.id())) {
+            endRecord(recordsById.get(gone.id()));
         }
     }
 
-    private void listTold(Event.ListTold told) {
-        if (told.whole()) {
-            routes.values().forEach(route -> route.stand(ListedEndpoint.Standing.GONE, now));
+    private void updateEndpoints(Event.ListReceived told) {
+        if (told.complete()) {
+            routesByEndpoint.values().forEach(route -> route.updateState(ListedEndpoint.EndpointState.GONE, now));
         }
         for (ListedEndpoint entry : told.entries()) {
-            Route route = routes.computeIfAbsent(entry.endpoint(), e -> newRoute(entry));
-            route.stand(entry.standing(), now);
-            route.destination.listedRate = entry.rate() / terms.listed().excess();
+            Route route = routesByEndpoint.computeIfAbsent(entry.endpoint(), e -> createRoute(entry));
+            route.updateState(entry.state(), now);
+            route.failureDomain.listedRate = entry.rate() / settings.listedRateAccuracy().maxOverstatement();
         }
     }
 
-    private Route newRoute(ListedEndpoint entry) {
-        Addressee addressee = addressees.computeIfAbsent(entry.destination(), number -> new Addressee());
+    private Route createRoute(ListedEndpoint entry) {
+        DestinationState addressee = destinationStates.computeIfAbsent(entry.destination(), number -> new DestinationState());
         int kind = entry.kind();
-        addressee.kind = kinds.computeIfAbsent(kind, number -> new Kind());
-        addressee.perCall = kind < terms.recordsPerCall().size() ? terms.recordsPerCall().get(kind) : 1;
-        boolean apart = kind < terms.routesApart().size() && terms.routesApart().get(kind);
-        Destination destination = !apart && !addressee.routes.isEmpty() ? addressee.routes.get(0).destination
-                : new Destination(terms, chance, line -> actions.add(new Action.Log(line)));
+        addressee.kind = endpointKinds.computeIfAbsent(kind, number -> new EndpointKind());
+        addressee.maxRecordsPerCall = kind < settings.maxRecordsPerCallByKind().size() ? settings.maxRecordsPerCallByKind().get(kind) : 1;
+        boolean apart = kind < settings.independentRoutesByKind().size() && settings.independentRoutesByKind().get(kind);
+        FailureDomain destination = !apart && !addressee.routes.isEmpty() ? addressee.routes.get(0).failureDomain
+                : new FailureDomain(settings, random, line -> actions.add(new Action.Log(line)));
         Route route = new Route(entry.endpoint(), entry.zone(), addressee, destination,
-                halls.computeIfAbsent(entry.zone(), zone -> new Outcomes()));
-        route.fee = (apart ? terms.hallFee(route.zone) : 0)
-                + (route.zone == terms.zone() ? 0 : terms.crossingPrice());
+                outcomesByHall.computeIfAbsent(entry.zone(), zone -> new OutcomeHistory()));
+        route.fee = (apart ? settings.hallFee(route.zone) : 0)
+                + (route.zone == settings.zone() ? 0 : settings.zoneCrossingPrice());
         addressee.routes.add(route);
         destination.routes.add(route);
         return route;
     }
 
-    private Held taken(Event.RecordTaken taken) {
-        ServiceGrade grade = terms.grades().get(taken.grade());
-        Addressee addressee = addressees.computeIfAbsent(taken.destination(), number -> new Addressee());
-        double payoff = grade.payoff() * (withinShare(taken.tenant()) ? 1 : terms.overSharePayoff());
-        KeyLine line = grade.inOrder() && taken.key() != 0
-                ? lines.computeIfAbsent(taken.key(), key -> new KeyLine()) : new KeyLine();
-        Held record = new Held(taken, now, grade, addressee, payoff, line);
-        held.put(taken.id(), record);
-        byEnd.add(record);
+    private PendingRecord acceptRecord(Event.RecordAccepted taken) {
+        ServiceGrade grade = settings.grades().get(taken.grade());
+        DestinationState addressee = destinationStates.computeIfAbsent(taken.destination(), number -> new DestinationState());
+        double payoff = grade.payoff() * (consumeQuota(taken.tenant()) ? 1 : settings.overQuotaPayoffFactor());
+        KeyQueue line = grade.inOrder() && taken.key() != 0
+                ? keyQueues.computeIfAbsent(taken.key(), key -> new KeyQueue()) : new KeyQueue();
+        PendingRecord record = new PendingRecord(taken, now, grade, addressee, payoff, line);
+        recordsById.put(taken.id(), record);
+        recordsByAbandonTime.add(record);
         line.records.add(record);
-        queue(record, now);
+        enqueue(record, now);
         return record;
     }
 
     /** Rules 2 and 5 over any restart: a shot out at the end of the last life may have run. */
-    private void owed(Event.RecordOwed owed) {
-        Held record = taken(owed.taken());
-        for (Event.EarlierShot past : owed.shots()) {
-            Route route = new Route(past.endpoint(), past.zone(), record.addressee, null, new Outcomes());
+    private void restoreRecord(Event.RecordRestored owed) {
+        PendingRecord record = acceptRecord(owed.accepted());
+        for (Event.EarlierShot past : owed.earlierShots()) {
+            Route route = new Route(past.endpoint(), past.zone(), record.destinationState, null, new OutcomeHistory());
             Shot shot = new Shot(new Call(route, now - past.age()));
             shot.ending = past.ending() == null ? Ending.RESET : past.ending();
             record.shots.add(shot);
-            record.line.shotEnded(record, shot.ending, now, terms.keyRest());
+            record.keyQueue.shotEnded(record, shot.ending, now, settings.keyQuietPeriod());
         }
         if (owed.ended()) {
-            untold(record);
-            over(record);
+            awaitAnswerDelivery(record);
+            endRecord(record);
         }
     }
 
     /** A final answer that is still to be told: until then the record's key waits. */
-    private void untold(Held record) {
-        record.line.strays += terms.endsTold() && untold.put(record.id, record.line) == null ? 1 : 0;
+    private void awaitAnswerDelivery(PendingRecord record) {
+        record.keyQueue.outstandingCount += settings.reportsFinalAnswerDelivery() && undeliveredAnswers.put(record.id, record.keyQueue) == null ? 1 : 0;
     }
 
     /** A tenant's records beyond its share of two seconds are worth little; one is always within it. */
-    private boolean withinShare(int tenant) {
-        List<Double> quotas = terms.tenantQuotas();
-        long each = tenant < quotas.size() ? (long) (1e6 * terms.nodes() / quotas.get(tenant)) : 0;
-        long used = Math.max(shareUsed.getOrDefault(tenant, 0L), now - Math.max(each, 2_000_000));
-        shareUsed.put(tenant, used + each <= now ? used + each : used);
+    private boolean consumeQuota(int tenant) {
+        List<Double> quotas = settings.tenantQuotas();
+        long each = tenant < quotas.size() ? (long) (1e6 * settings.nodeCount() / quotas.get(tenant)) : 0;
+        long used = Math.max(quotaUsedUntil.getOrDefault(tenant, 0L), now - Math.max(each, 2_000_000));
+        quotaUsedUntil.put(tenant, used + each <= now ? used + each : used);
         return used + each <= now;
     }
 
     /** Holding room: of what could not go, the longest queue hands back what can win least. */
-    private void makeRoom() {
-        for (int over = byEnd.size() - terms.holdingRoom() + 2; over > 0; over--) {
-            byEnd.stream().filter(record -> record.shotsOut == 0 && record.mayBounce())
-                    .min(Comparator.comparingInt((Held record) -> -record.addressee.waiting.size())
-                    .thenComparingDouble(record -> record.payoffAt(now + LATER, terms)))
-                    .ifPresent(this::giveUp);
+    private void bounceExcessRecords() {
+        for (int over = recordsByAbandonTime.size() - settings.maxPendingRecords() + 2; over > 0; over--) {
+            recordsByAbandonTime.stream().filter(record -> record.inFlightShotCount == 0 && record.canBounce())
+                    .min(Comparator.comparingInt((PendingRecord record) -> -record.destinationState.waitingRecords.size())
+                    .thenComparingDouble(record -> record.payoffAt(now + LONG_HORIZON_MICROS, settings)))
+                    .ifPresent(this::bounceOrTerminate);
         }
     }
 
-    private void queue(Held record, long notBefore) {
+    private void enqueue(PendingRecord record, long notBefore) {
         record.notBefore = notBefore;
-        record.addressee.waiting.add(record);
-        queued.add(record.addressee);
+        record.destinationState.waitingRecords.add(record);
+        destinationsWithWaitingRecords.add(record.destinationState);
     }
 
     /** The final answer, at once: a bounce where its promise holds, otherwise a termination. */
-    private void giveUp(Held record) {
-        actions.add(record.shotsOut > 0 || !record.mayBounce() ? new Action.Terminate(record.id)
-                : new Action.Bounce(record.id, Math.min(1_000_000, terms.longestAdvice())));
-        untold(record);
-        over(record);
+    private void bounceOrTerminate(PendingRecord record) {
+        actions.add(record.inFlightShotCount > 0 || !record.canBounce() ? new Action.Terminate(record.id)
+                : new Action.Bounce(record.id, Math.min(1_000_000, settings.maxRetryAfter())));
+        awaitAnswerDelivery(record);
+        endRecord(record);
     }
 
-    private void over(Held record) {
-        if (byEnd.remove(record)) {
-            record.over = true;
-            record.addressee.waiting.remove(record);
-            record.shots.stream().filter(shot -> shot.ending == null && terms.recalls())
+    private void endRecord(PendingRecord record) {
+        if (recordsByAbandonTime.remove(record)) {
+            record.ended = true;
+            record.destinationState.waitingRecords.remove(record);
+            record.shots.stream().filter(shot -> shot.ending == null && settings.recallsAllowed())
                     .forEach(shot -> actions.add(new Action.Recall(record.id, record.shots.indexOf(shot))));
-            record.line.over(record);
-            held.remove(record.id, record.shotsOut == 0 ? record : null);
+            record.keyQueue.recordEnded(record);
+            recordsById.remove(record.id, record.inFlightShotCount == 0 ? record : null);
         }
     }
 
-    private void shotEnded(Event.ShotEnded ended) {
-        Held record = held.get(ended.id());
-        if (record == null || ended.shot() >= record.shots.size()) {
+    private void handleShotEnded(Event.ShotEnded ended) {
+        PendingRecord record = recordsById.get(ended.id());
+        if (record == null || ended.shotIndex() >= record.shots.size()) {
             return;
         }
-        Shot shot = record.shots.get(ended.shot());
+        Shot shot = record.shots.get(ended.shotIndex());
         shot.ending = ended.ending();
-        record.shotsOut--;
-        callEnded(shot, ended);
-        record.line.shotEnded(record, ended.ending(), now, terms.keyRest());
-        if (record.over) {
-            held.remove(record.id, record.shotsOut == 0 ? record : null);
-        } else if (ended.recordOver()) {
-            over(record);
-        } else if (now >= record.abandonAt - terms.turn() || record.hopeless(now, terms)) {
-            giveUp(record);
-        } else if (record.shotsOut == 0) {
-            queue(record, now + (shot.ending.provesNotRun() ? 0 : RETRY_REST << Math.min(4, ended.shot())));
+        record.inFlightShotCount--;
+        handleCallEnded(shot, ended);
+        record.keyQueue.shotEnded(record, ended.ending(), now, settings.keyQuietPeriod());
+        if (record.ended) {
+            recordsById.remove(record.id, record.inFlightShotCount == 0 ? record : null);
+        } else if (ended.recordEnded()) {
+            endRecord(record);
+        } else if (now >= record.abandonAt - settings.turnInterval() || record.isUndeliverable(now, settings)) {
+            bounceOrTerminate(record);
+        } else if (record.inFlightShotCount == 0) {
+            enqueue(record, now + (shot.ending.provesNotRun() ? 0 : RETRY_BACKOFF_MICROS << Math.min(4, ended.shotIndex())));
         }
     }
 
-    private void callEnded(Shot shot, Event.ShotEnded ended) {
+    private void handleCallEnded(Shot shot, Event.ShotEnded ended) {
         Call call = shot.call;
         Route route = call.route;
-        call.out--;
-        if (!call.known) {
-            call.known = true;
-            route.ended(call, ended.ending(), now);
+        call.inFlightRecordCount--;
+        if (!call.outcomeKnown) {
+            call.outcomeKnown = true;
+            route.callEnded(call, ended.ending(), now);
             if (ended.ending() != Ending.NOT_SENT && (ended.ending() != Ending.RECALLED || shot.recalled)) {
-                route.learn(now, ended.ending(), ended.spent());
+                route.addOutcome(now, ended.ending(), ended.elapsed());
             }
-            if (keptAreLost(call, ended.ending(), shot.recalled)
-                    || ended.ending() == Ending.CROWDED && crowdedWidely()) {
-                closes(r -> true);
+            if (updateAndCheckKeptConnectionLoss(call, ended.ending(), shot.recalled)
+                    || ended.ending() == Ending.CROWDED && isWidelyCrowded()) {
+                scheduleIdleClose(r -> true);
             }
-            lookForRoom(route, ended.ending());
-            route.destination.ended(call, ended.ending(), ended.waitTold(), now);
-            busy.add(route.destination);
+            checkConnectionLimit(route, ended.ending());
+            route.failureDomain.callEnded(call, ended.ending(), ended.retryAfter(), now);
+            activeDomains.add(route.failureDomain);
         }
-        route.destination.told(now, ended.waitTold(), ended.report());
-        route.destination.routes.stream().filter(r -> ended.waitTold() > 0)
-                .forEach(r -> actions.add(new Action.Withhold(r.endpoint)));
-        if (call.out == 0) {
-            slotsOut--;
-            route.addressee.callsOut--;
-            if (now < route.addressee.kind.closesUntil || route.crowded(now, terms.idleClose())) {
-                quiet.add(route);
+        route.failureDomain.applyFeedback(now, ended.retryAfter(), ended.loadReport());
+        route.failureDomain.routes.stream().filter(r -> ended.retryAfter() > 0)
+                .forEach(r -> actions.add(new Action.CancelUnsentCalls(r.endpoint)));
+        if (call.inFlightRecordCount == 0) {
+            inFlightCallCount--;
+            route.destinationState.inFlightCallCount--;
+            if (now < route.destinationState.kind.closeIdleUntil || route.wasCrowdedWithin(now, settings.idleConnectionTimeout())) {
+                idleCloseCandidates.add(route);
             }
         }
     }
 
     /** No connection: down, or as many held as it accepts? A probe tells, and needs none of them. */
-    private void lookForRoom(Route route, Ending ending) {
-        Kind kind = route.addressee.kind;
-        if (ending == Ending.DONE && now - route.destination.unconnectedAt < Destination.FULL_FOR) {
-            closes(r -> r.addressee.kind == kind);
-        } else if (ending == Ending.NOT_CONNECTED && terms.probes() && route.ready()
-                && now >= Math.max(route.destination.waitUntil, Math.max(kind.asksAt, kind.closesUntil))) {
-            kind.asksAt = now + Destination.FULL_FOR;
+    private void checkConnectionLimit(Route route, Ending ending) {
+        EndpointKind kind = route.destinationState.kind;
+        if (ending == Ending.DONE && now - route.failureDomain.lastConnectFailureAt < FailureDomain.MIN_OUTAGE_MICROS) {
+            scheduleIdleClose(r -> r.destinationState.kind == kind);
+        } else if (ending == Ending.NOT_CONNECTED && settings.probesAllowed() && route.isReady()
+                && now >= Math.max(route.failureDomain.waitUntil, Math.max(kind.nextConnectionProbeAt, kind.closeIdleUntil))) {
+            kind.nextConnectionProbeAt = now + FailureDomain.MIN_OUTAGE_MICROS;
             actions.add(new Action.Probe(route.endpoint));
         }
     }
 
     /** Calls on kept connections end without an answer far more often than those on new ones. */
-    private boolean keptAreLost(Call call, Ending ending, boolean late) {
+    private boolean updateAndCheckKeptConnectionLoss(Call call, Ending ending, boolean late) {
         boolean gone = ending == Ending.RESET || ending == Ending.TIMED_OUT
                 || late && ending == Ending.RECALLED;
-        int kept = call.opened ? 0 : 1;
-        lost[kept] += gone ? 1 : 0;
-        sent[kept] += gone || ending == Ending.DONE ? 1 : 0;
-        for (int i = 0; sent[kept] > Outcomes.KEPT && i < 2; i++) {
-            lost[i] /= 2;
-            sent[i] /= 2;
+        int kept = call.neededNewConnection ? 0 : 1;
+        lostCalls[kept] += gone ? 1 : 0;
+        endedCalls[kept] += gone || ending == Ending.DONE ? 1 : 0;
+        for (int i = 0; endedCalls[kept] > OutcomeHistory.MAX_OUTCOMES && i < 2; i++) {
+            lostCalls[i] /= 2;
+            endedCalls[i] /= 2;
         }
-        return gone && kept == 1 && lost[1] >= 2 && lost[1] * (1 + sent[0]) > 2 * (1 + lost[0]) * sent[1];
+        return gone && kept == 1 && lostCalls[1] >= 2 && lostCalls[1] * (1 + endedCalls[0]) > 2 * (1 + lostCalls[0]) * endedCalls[1];
     }
 
     /** Connections in rare use close at once for a while: others need the room, or idle ones are dropped. */
-    private void closes(Predicate<Route> which) {
-        routes.values().stream().filter(which).forEach(route -> {
-            quiet.add(route);
-            route.addressee.kind.closesUntil = now + Outcomes.KEPT_FOR;
+    private void scheduleIdleClose(Predicate<Route> which) {
+        routesByEndpoint.values().stream().filter(which).forEach(route -> {
+            idleCloseCandidates.add(route);
+            route.destinationState.kind.closeIdleUntil = now + OutcomeHistory.RETENTION_MICROS;
         });
     }
 
     /** Half of the routes in use: then room is short at the others too, and else only where it shows. */
-    private boolean crowdedWidely() {
-        return 2 * routes.values().stream().filter(route -> route.crowded(now, terms.idleClose())).count()
-                >= routes.values().stream().filter(route -> now - route.endedAt < terms.idleClose()).count();
+    private boolean isWidelyCrowded() {
+        return 2 * routesByEndpoint.values().stream().filter(route -> route.wasCrowdedWithin(now, settings.idleConnectionTimeout())).count()
+                >= routesByEndpoint.values().stream().filter(route -> now - route.lastCallEndedAt < settings.idleConnectionTimeout()).count();
     }
 
     /** Connections in rare use go, once no record that waits can go on them: each costs others a place. */
-    private boolean makesRoom(Route route) {
-        boolean rare = now - route.endedAt > 2 * SOON || now == route.endedAt
-                && (route.outcomes.gap(now) > 2 * SOON || route.crowded(now, terms.idleClose()));
+    private boolean closeIfRarelyUsed(Route route) {
+        boolean rare = now - route.lastCallEndedAt > 2 * SHORT_HORIZON_MICROS || now == route.lastCallEndedAt
+                && (route.outcomes.meanCallInterval(now) > 2 * SHORT_HORIZON_MICROS || route.wasCrowdedWithin(now, settings.idleConnectionTimeout()));
         if (rare) {
-            route.open = route.out;
-            actions.add(new Action.DropConnections(route.endpoint));
+            route.openConnections = route.inFlightCallCount;
+            actions.add(new Action.CloseIdleConnections(route.endpoint));
         }
         return rare;
     }
 
     private void tick() {
-        lines.values().removeIf(line -> line.idle(now));
-        routes.values().removeIf(route -> route.forgotten(now));
-        busy.removeIf(target -> target.out.isEmpty() && (!target.suspect() || target.routes.isEmpty()));
-        long out = busy.stream().filter(destination -> !destination.out.isEmpty()).count();
-        long late = busy.stream().filter(destination -> destination.overdue(now) > 0).count();
+        keyQueues.values().removeIf(line -> line.isIdle(now));
+        routesByEndpoint.values().removeIf(route -> route.removeIfExpired(now));
+        activeDomains.removeIf(target -> target.inFlightCalls.isEmpty() && (!target.suspect() || target.routes.isEmpty()));
+        long out = activeDomains.stream().filter(destination -> !destination.inFlightCalls.isEmpty()).count();
+        long late = activeDomains.stream().filter(destination -> destination.overdueScore(now) > 0).count();
         String why = late > 2 && 2 * late > out ? null : late + " of " + out + " late"; // or slow everywhere
-        for (Destination destination : busy) {
-            destination.suspect(now, why, why != null && destination.overdue(now) >= 2);
-            destination.probe(now).ifPresent(route -> actions.add(new Action.Probe(route.endpoint)));
+        for (FailureDomain destination : activeDomains) {
+            destination.suspect(now, why, why != null && destination.overdueScore(now) >= 2);
+            destination.nextProbeRoute(now).ifPresent(route -> actions.add(new Action.Probe(route.endpoint)));
         }
-        for (Held record : List.copyOf(byEnd)) {
-            if (record.abandonAt <= now + STEP + 2 * terms.turn() || record.hopeless(now, terms)) {
-                giveUp(record);
-            } else if (record.shotsOut == 1 && !record.addressee.waiting.contains(record)) {
-                lateShot(record);
+        for (PendingRecord record : List.copyOf(recordsByAbandonTime)) {
+            if (record.abandonAt <= now + TICK_INTERVAL_MICROS + 2 * settings.turnInterval() || record.isUndeliverable(now, settings)) {
+                bounceOrTerminate(record);
+            } else if (record.inFlightShotCount == 1 && !record.destinationState.waitingRecords.contains(record)) {
+                handleOverdueShot(record);
             }
         }
     }
 
     /** An overdue shot is doubled, or recalled where copies are barred or the sick crowd the slots. */
-    private void lateShot(Held record) {
+    private void handleOverdueShot(PendingRecord record) {
         Shot shot = record.shots.stream().filter(s -> s.ending == null).findFirst().orElseThrow();
         Route route = shot.call.route;
-        long age = now - shot.call.firedAt, bound = route.overdueAfter(now);
-        boolean crowded = slotsOut >= terms.slots() && age > 3 * bound
-                || 2 * sickOut >= terms.slots() && route.destination.suspect();
+        long age = now - shot.call.startedAt, bound = route.overdueAfter(now);
+        boolean crowded = inFlightCallCount >= settings.slots() && age > 3 * bound
+                || 2 * degradedCallCount >= settings.slots() && route.failureDomain.suspect();
         boolean late = !shot.recalled && age > bound;
-        boolean elsewhere = late && record.addressee.routes.stream().anyMatch(other -> other != route
-                && !other.destination.sick(now) && usable(other) && record.permits(other, now, terms, shot));
-        boolean moves = crowded || !terms.copies() && elsewhere && route.destination.suspect();
-        if (late && terms.recalls() && moves) {
+        boolean elsewhere = late && record.destinationState.routes.stream().anyMatch(other -> other != route
+                && !other.failureDomain.isDegraded(now) && isUsable(other) && record.permitsShot(other, now, settings, shot));
+        boolean moves = crowded || !settings.copiesAllowed() && elsewhere && route.failureDomain.suspect();
+        if (late && settings.recallsAllowed() && moves) {
             shot.recalled = true;
             actions.add(new Action.Recall(record.id, record.shots.indexOf(shot)));
-        } else if (terms.copies() && elsewhere && 4 * slotsOut < 3 * terms.slots() - 3 && copyCredit >= 1) {
-            queue(record, now);
+        } else if (settings.copiesAllowed() && elsewhere && 4 * inFlightCallCount < 3 * settings.slots() - 3 && copyBudget >= 1) {
+            enqueue(record, now);
         }
     }
 
     /** Payoff order: what is lost where the record is answered later, and a little for what is won at all. */
-    private double urgency(Held record) {
-        return record.payoffAt(now + SOON, terms) - 0.8 * record.payoffAt(now + LATER, terms);
+    private double urgency(PendingRecord record) {
+        return record.payoffAt(now + SHORT_HORIZON_MICROS, settings) - 0.8 * record.payoffAt(now + LONG_HORIZON_MICROS, settings);
     }
 
     private void dispatch() {
-        queued.removeIf(addressee -> addressee.waiting.isEmpty());
-        sickOut = busy.stream().filter(d -> d.sick(now)).mapToInt(d -> d.out.size()).sum();
-        if (slotsOut < terms.slots()) {
-            queued.forEach(this::findNext);
-            for (Optional<Addressee> first = dearest(); first.isPresent(); first = dearest()) {
-                shoot(first.get().next);
-                findNext(first.get());
+        destinationsWithWaitingRecords.removeIf(addressee -> addressee.waitingRecords.isEmpty());
+        degradedCallCount = activeDomains.stream().filter(d -> d.isDegraded(now)).mapToInt(d -> d.inFlightCalls.size()).sum();
+        if (inFlightCallCount < settings.slots()) {
+            destinationsWithWaitingRecords.forEach(this::selectNextRecord);
+            for (Optional<DestinationState> first = mostUrgentDestination(); first.isPresent(); first = mostUrgentDestination()) {
+                sendOnBestRoutes(first.get().nextRecord);
+                selectNextRecord(first.get());
             }
         }
     }
 
-    private Optional<Addressee> dearest() {
-        return queued.stream().filter(addressee -> addressee.next != null)
+    private Optional<DestinationState> mostUrgentDestination() {
+        return destinationsWithWaitingRecords.stream().filter(addressee -> addressee.nextRecord != null)
                 .max(Comparator.comparingDouble(addressee -> addressee.nextUrgency));
     }
 
     /** Finds the addressee's dearest record that may go now, and its payoff for each moment of a slot. */
-    private void findNext(Addressee addressee) {
-        addressee.sick = addressee.routes.stream().anyMatch(route -> route.destination.sick(now));
-        List<Route> usable = addressee.routes.stream().filter(this::usable).toList();
-        double price = usable.stream().mapToDouble(route -> route.destination.expected(now)).min().orElse(1);
-        addressee.next = null;
+    private void selectNextRecord(DestinationState addressee) {
+        addressee.degraded = addressee.routes.stream().anyMatch(route -> route.failureDomain.isDegraded(now));
+        List<Route> usable = addressee.routes.stream().filter(this::isUsable).toList();
+        double price = usable.stream().mapToDouble(route -> route.failureDomain.expectedLatency(now)).min().orElse(1);
+        addressee.nextRecord = null;
         addressee.nextUrgency = 0;
-        for (Held record : usable.isEmpty() ? Set.<Held>of() : addressee.waiting) {
+        for (PendingRecord record : usable.isEmpty() ? Set.<PendingRecord>of() : addressee.waitingRecords) {
             double urgency = urgency(record) / price;
-            if (urgency > addressee.nextUrgency && record.notBefore <= now && record.line.hasTurn(record, now)
-                    && usable.stream().anyMatch(route -> record.permits(route, now, terms, null))) {
-                addressee.next = record;
+            if (urgency > addressee.nextUrgency && record.notBefore <= now && record.keyQueue.canSend(record, now)
+                    && usable.stream().anyMatch(route -> record.permitsShot(route, now, settings, null))) {
+                addressee.nextRecord = record;
                 addressee.nextUrgency = urgency;
             }
         }
     }
 
-    private boolean usable(Route route) {
-        Destination destination = route.destination;
-        boolean capped = route.addressee.sick && 2 * (route.addressee.callsOut + 1) > terms.slots()
-                || 2 * sickOut >= terms.slots() && destination.sick(now) && !destination.suspect();
-        return route.ready() && now + route.fit(now).m() < leavesAt
-                && (joinable(route) || !capped && slotsOut < terms.slots()
-                && (now >= route.restUntil || destination.suspect()) && route.hasRoom(now)
-                && destination.admits(now));
+    private boolean isUsable(Route route) {
+        FailureDomain destination = route.failureDomain;
+        boolean capped = route.destinationState.degraded && 2 * (route.destinationState.inFlightCallCount + 1) > settings.slots()
+                || 2 * degradedCallCount >= settings.slots() && destination.isDegraded(now) && !destination.suspect();
+        return route.isReady() && now + route.fit(now).meanLatency() < shutdownAt
+                && (hasJoinableCall(route) || !capped && inFlightCallCount < settings.slots()
+                && (now >= route.backoffUntil || destination.suspect()) && route.hasConnectionAvailable(now)
+                && destination.admitsCall(now));
     }
 
-    private boolean joinable(Route route) {
-        return route.joinable != null && route.joinable.firedAt == now && now >= route.destination.waitUntil
-                && route.joinable.records < route.addressee.perCall && route.destination.takesMore();
+    private boolean hasJoinableCall(Route route) {
+        return route.joinableCall != null && route.joinableCall.startedAt == now && now >= route.failureDomain.waitUntil
+                && route.joinableCall.recordCount < route.destinationState.maxRecordsPerCall && route.failureDomain.acceptsMoreRecords();
     }
 
-    private void shoot(Held record) {
-        List<Route> choice = record.addressee.routes.stream()
-                .filter(route -> usable(route) && record.permits(route, now, terms, null))
-                .sorted(Comparator.comparingInt(route -> route.calls)).toList(); // unsampled ones in turn
-        boolean again = record.shotsOut > 0;
-        copyCredit = Math.min(terms.slots(), copyCredit + (again ? -1 : COPY_SHARE));
+    private void sendOnBestRoutes(PendingRecord record) {
+        List<Route> choice = record.destinationState.routes.stream()
+                .filter(route -> isUsable(route) && record.permitsShot(route, now, settings, null))
+                .sorted(Comparator.comparingInt(route -> route.callCount)).toList(); // unsampled ones in turn
+        boolean again = record.inFlightShotCount > 0;
+        copyBudget = Math.min(settings.slots(), copyBudget + (again ? -1 : COPIES_PER_FIRST_SHOT));
         RoutePicker.Fit[] fits = choice.stream().map(route -> route.fit(now)).toArray(RoutePicker.Fit[]::new);
-        boolean pair = terms.copies() && !again && record.grade.effect() != ServiceGrade.Effect.UNREPEATABLE
-                && record.addressee.perCall == 1 && 2 * (slotsOut + 2) <= terms.slots()
-                && !record.addressee.sick && copyCredit >= 1;
-        double[] prices = choice.stream().mapToDouble(this::price).toArray();
-        int set = RoutePicker.pick(fits, prices, record.grade.target(), record.abandonAt - now, R_HAT,
+        boolean pair = settings.copiesAllowed() && !again && record.grade.repeatSemantics() != ServiceGrade.RepeatSemantics.UNREPEATABLE
+                && record.destinationState.maxRecordsPerCall == 1 && 2 * (inFlightCallCount + 2) <= settings.slots()
+                && !record.destinationState.degraded && copyBudget >= 1;
+        double[] prices = choice.stream().mapToDouble(this::shotPrice).toArray();
+        int set = RoutePicker.pickSubset(fits, prices, record.grade.targetTime(), record.abandonAt - now, TARGET_RELIABILITY,
                 pair ? 2 : 1);
         for (int i = 0; i < fits.length; i++) {
-            if ((set >> i & 1) != 0 && usable(choice.get(i))
-                    && record.permits(choice.get(i), now, terms, null)) {
-                copyCredit -= record.shotsOut > 0 && !again ? 1 : 0;
-                fire(record, choice.get(i));
+            if ((set >> i & 1) != 0 && isUsable(choice.get(i))
+                    && record.permitsShot(choice.get(i), now, settings, null)) {
+                copyBudget -= record.inFlightShotCount > 0 && !again ? 1 : 0;
+                sendShot(record, choice.get(i));
             }
         }
     }
 
     /** What a call by this route takes off the result: its hall's fee, a crossing, a new connection. */
-    private double price(Route route) {
-        boolean stands = route.out < route.open && now - route.endedAt < terms.idleClose();
-        return route.fee + (stands || joinable(route) ? 0 : terms.connectionPrice());
+    private double shotPrice(Route route) {
+        boolean stands = route.inFlightCallCount < route.openConnections && now - route.lastCallEndedAt < settings.idleConnectionTimeout();
+        return route.fee + (stands || hasJoinableCall(route) ? 0 : settings.newConnectionPrice());
     }
 
-    private void fire(Held record, Route route) {
-        if (!joinable(route)) {
-            route.joinable = new Call(route, now);
-            route.fired();
-            route.destination.fired(route.joinable);
-            busy.add(route.destination);
-            slotsOut++;
-            route.addressee.callsOut++;
-            sickOut += route.destination.sick(now) ? 1 : 0;
+    private void sendShot(PendingRecord record, Route route) {
+        if (!hasJoinableCall(route)) {
+            route.joinableCall = new Call(route, now);
+            route.callStarted();
+            route.failureDomain.callStarted(route.joinableCall);
+            activeDomains.add(route.failureDomain);
+            inFlightCallCount++;
+            route.destinationState.inFlightCallCount++;
+            degradedCallCount += route.failureDomain.isDegraded(now) ? 1 : 0;
         }
-        record.shots.add(new Shot(route.joinable)); // a copy may run before it leaves, so its window binds it
-        boolean once = record.grade.effect() == ServiceGrade.Effect.UNREPEATABLE;
-        actions.add(new Action.Shoot(record.id, route.endpoint, record.abandonAt,
-                once ? Long.MAX_VALUE : record.repeatBy(terms)));
-        route.destination.joined(route.joinable.records++);
-        route.joinable.out++;
-        record.shotsOut++;
-        record.addressee.waiting.remove(record);
+        record.shots.add(new Shot(route.joinableCall)); // a copy may run before it leaves, so its window binds it
+        boolean once = record.grade.repeatSemantics() == ServiceGrade.RepeatSemantics.UNREPEATABLE;
+        actions.add(new Action.SendShot(record.id, route.endpoint, record.abandonAt,
+                once ? Long.MAX_VALUE : record.repeatDeadline(settings)));
+        route.failureDomain.recordJoined(route.joinableCall.recordCount++);
+        route.joinableCall.inFlightRecordCount++;
+        record.inFlightShotCount++;
+        record.destinationState.waitingRecords.remove(record);
     }
 }
--- a/src/main/java/terndyke/node/Charter.java
+++ b/src/main/java/terndyke/node/Charter.java
@@ -10,12 +10,12 @@
 
 import terndyke.adapter.TermsReader;
 import terndyke.adapter.WireException;
-import terndyke.api.DeliveryTerms;
+import terndyke.api.DeliverySettings;
 import terndyke.node.http.Calls;
 
 /** What a node is told at its start: who and where it is, what it may use, and the delivery terms. */
 public record Charter(String name, InetSocketAddress listen, InetSocketAddress discovery, Path folder, Limits limits,
-        Map<String, String> known, DeliveryTerms terms, List<String> grades, List<String> tenants, List<String> zones,
+        Map<String, String> known, DeliverySettings terms, List<String> grades, List<String> tenants, List<String> zones,
         List<String> kinds, List<String> reportFields) {
 
     /** Where the program was told to look; what is null is taken from the file. */
@@ -48,10 +48,10 @@
         Map<String, String> settings = FlatJson.below("settings", told);
         settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // one a call
         String seed = told.getOrDefault("seed", "0");
-        DeliveryTerms terms = TermsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
+        DeliverySettings terms = TermsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
         Limits limits = Limits.shareOut((int) number(told, "limits.memory_mb", 192),
                 (int) number(told, "limits.sockets", 1024), number(told, "limits.disk_mb", 3), terms.slots(),
-                terms.holdingRoom(), micros(settings, "ceilings.connectTimeout", 1), terms.idleClose());
+                terms.maxPendingRecords(), micros(settings, "ceilings.connectTimeout", 1), terms.idleConnectionTimeout());
         return new Charter(place.name() != null ? place.name() : told.getOrDefault("name", "node"),
                 address(place.listen() != null ? place.listen() : told.get("listen"), "listen"),
                 address(place.discovery() != null ? place.discovery()
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -48,7 +48,7 @@
         }
         Catalogue catalogue = new Catalogue(charter.zones(), charter.kinds());
         List<String> unread = new ArrayList<>();
-        Event.ListTold known = new Event.ListTold(List.of(), true);
+        Event.ListReceived known = new Event.ListReceived(List.of(), true);
         try {
             known = charter.known().isEmpty() ? known : catalogue.take(charter.known(), clock.now(), unread);
         } catch (IOException e) {
--- a/src/main/java/terndyke/node/Rehearsal.java
+++ b/src/main/java/terndyke/node/Rehearsal.java
@@ -46,20 +46,20 @@
         List<Event> events = new ArrayList<>();
         List<ListedEndpoint> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            list.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.Standing.READY, 0, i / 2));
+            list.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
         }
-        events.add(new Event.ListTold(list, true));
+        events.add(new Event.ListReceived(list, true));
         for (int i = 1; i <= ROUNDS && System.nanoTime() < until; i++) {
             if (i % ROUNDS_A_STRETCH == 0) {
                 giveWay.run();
             }
-            events.add(new Event.RecordTaken(i, i % charter.terms().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
+            events.add(new Event.RecordAccepted(i, i % charter.terms().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
                     false, false));
-            events.add(new Event.Woken(0));
-            List<Action> actions = dispatcher.turn(i * 10_000L, events);
+            events.add(new Event.TimerExpired(0));
+            List<Action> actions = dispatcher.handleEvents(i * 10_000L, events);
             events = new ArrayList<>();
             for (Action action : actions) {
-                if (action instanceof Action.Shoot shoot) {
+                if (action instanceof Action.SendShot shoot) {
                     Ending ending = i % 5 == 0 ? Ending.FULL : Ending.DONE;
                     events.add(new Event.ShotEnded(shoot.id(), 0, shoot.endpoint(), ending, 9_000, 0, false,
                             ending == Ending.DONE, NO_REPORT));
--- a/src/main/java/terndyke/node/discovery/Catalogue.java
+++ b/src/main/java/terndyke/node/discovery/Catalogue.java
@@ -14,7 +14,7 @@
 
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 import terndyke.node.FlatJson;
 import terndyke.node.http.Calls;
 
@@ -86,7 +86,7 @@
     }
 
     /** Takes in an answer of discovery; entries that cannot be read are passed over and told in the list. */
-    public Event.ListTold take(Map<String, String> told, long now, List<String> unread) throws IOException {
+    public Event.ListReceived take(Map<String, String> told, long now, List<String> unread) throws IOException {
         long rev;
         int count;
         try {
@@ -110,14 +110,14 @@
             byNumber.values().stream().filter(member -> !listed.contains(member.listed))
                     .forEach(member -> leave(member, now));
         }
-        return new Event.ListTold(entries, whole);
+        return new Event.ListReceived(entries, whole);
     }
 
     private void leave(Member member, long now) {
         if (gone.add(member)) {
             ListedEndpoint was = member.listed;
             member.goneAt = now;
-            member.listed = new ListedEndpoint(was.endpoint(), was.zone(), was.kind(), was.rate(), Standing.GONE,
+            member.listed = new ListedEndpoint(was.endpoint(), was.zone(), was.kind(), was.rate(), EndpointState.GONE,
                     was.joined(), was.destination());
             left.add(member.peer);
         }
@@ -147,17 +147,17 @@
     }
 
     /** Takes in an answer as it came over the socket. */
-    public Event.ListTold take(byte[] json, long now, List<String> unread) throws IOException {
+    public Event.ListReceived take(byte[] json, long now, List<String> unread) throws IOException {
         return take(FlatJson.read(json), now, unread);
     }
 
     private ListedEndpoint entry(Map<String, String> told, String at, long now, List<ListedEndpoint> entries) {
         String uid = told.get(at + "uid");
         InetSocketAddress address = Calls.address(told.get(at + "endpoint"));
-        Standing standing = switch (String.valueOf(told.get(at + "state"))) {
-            case "active" -> Standing.READY;
-            case "leaving" -> Standing.DRAINING;
-            case "left" -> Standing.GONE;
+        EndpointState standing = switch (String.valueOf(told.get(at + "state"))) {
+            case "active" -> EndpointState.READY;
+            case "leaving" -> EndpointState.DRAINING;
+            case "left" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("unknown state " + told.get(at + "state"));
         };
         Member known = uid == null ? null : byName.get(uid);
@@ -167,7 +167,7 @@
             entries.add(known.listed);
             known = null;
         }
-        if (uid == null || address == null && (known == null || standing == Standing.READY)) {
+        if (uid == null || address == null && (known == null || standing == EndpointState.READY)) {
             throw new IllegalArgumentException("no uid or no address in numbers");
         }
         int destination = known != null ? known.destination() : Integer.parseInt(group);
@@ -184,7 +184,7 @@
         AtomicLong toldAt = destinations.computeIfAbsent(destination, number -> new AtomicLong());
         member.peer = moved ? new Calls.Peer(address, toldAt) : was;
         gone.remove(member);
-        if (standing == Standing.GONE) {
+        if (standing == EndpointState.GONE) {
             leave(member, now);
         }
         byName.put(uid, member);
--- a/src/main/java/terndyke/node/discovery/Watch.java
+++ b/src/main/java/terndyke/node/discovery/Watch.java
@@ -152,7 +152,7 @@
         }
         try {
             List<String> unread = new ArrayList<>();
-            Event.ListTold list = catalogue.take(result.body(), now, unread);
+            Event.ListReceived list = catalogue.take(result.body(), now, unread);
             unread.forEach(text -> log.warn("list: " + text));
             tried = true;
             breaks = 0;
--- a/src/main/java/terndyke/node/stage/Desk.java
+++ b/src/main/java/terndyke/node/stage/Desk.java
@@ -75,7 +75,7 @@
         this.clock = clock;
         this.book = book;
         this.catalogue = catalogue;
-        this.keyRest = charter.terms().keyRest();
+        this.keyRest = charter.terms().keyQuietPeriod();
         this.grades = charter.terms().grades().size();
         watchdog = new Watchdog(limits.slowTurn(), limits.slowLineEvery(), counters);
         calls = new Calls(reactor, limits, counters, clock::now, line -> post(new Word.LineFree(line)));
@@ -125,7 +125,7 @@
      * The list as it was last held, and what the last life owed, before the thread starts. The list may be old, and what
      * discovery has counts as told: the first turn of the module waits until it has been asked.
      */
-    public void restore(Event.ListTold known, Collection<Owed> records) {
+    public void restore(Event.ListReceived known, Collection<Owed> records) {
         route.tell(known);
         for (Owed owed : List.copyOf(records)) {
             counters.add(Count.RESTORED, owed.told ? 0 : 1);
@@ -216,7 +216,7 @@
         watchdog.did(Doing.TIMERS, now());
         watch.keep(now);
         if (watch.failed()) {
-            route.tell(new Event.ListFailed());
+            route.tell(new Event.ListRequestFailed());
         }
         begin(now);
         if (begun()) {
@@ -266,7 +266,7 @@
             Event told = watch.answered(watched.round(), watched.result(), now);
             if (told != null) {
                 counters.add(Count.LISTS_TOLD);
-                log.trace(now, "list", ((Event.ListTold) told).entries().size());
+                log.trace(now, "list", ((Event.ListReceived) told).entries().size());
                 route.tell(told);
                 catalogue.left().forEach(calls::left);
             }
@@ -278,7 +278,7 @@
         } else if (word instanceof Word.Leave) {
             leaveAt = now + limits.leaveWithin();
             admit.leave();
-            route.tell(new Event.NodeLeaving(limits.leaveWithin()));
+            route.tell(new Event.NodeShuttingDown(limits.leaveWithin()));
             timers.at(leaveAt, () -> { });
         }
     }
@@ -304,9 +304,9 @@
         }
     }
 
-    static Event.RecordTaken event(Owed owed, long now) {
+    static Event.RecordAccepted event(Owed owed, long now) {
         Entry.Taken taken = owed.taken;
-        return new Event.RecordTaken(taken.number(), taken.grade(), taken.tenant(), taken.key(),
+        return new Event.RecordAccepted(taken.number(), taken.grade(), taken.tenant(), taken.key(),
                 taken.abandonAt() - now, 0, taken.destination(), owed.again, false, owed.fromDeadNode);
     }
 
@@ -352,7 +352,7 @@
     private void answerFresh(List<Action> actions) {
         for (Action action : fresh.isEmpty() ? List.<Action>of() : actions) {
             if (action instanceof Action.Bounce bounce && fresh.containsKey(bounce.id())) {
-                relay.refused(fresh.remove(bounce.id()), bounce.stayAway());
+                relay.refused(fresh.remove(bounce.id()), bounce.retryAfter());
             } else if (action instanceof Action.Terminate terminate && fresh.containsKey(terminate.id())) {
                 relay.failed(fresh.remove(terminate.id()));
             }
@@ -380,23 +380,23 @@
     }
 
     private void act(Action action, long now) {
-        if (action instanceof Action.Shoot shoot) {
+        if (action instanceof Action.SendShot shoot) {
             send.shoot(book.byNumber(shoot.id()), shoot, now);
         } else if (action instanceof Action.Recall recall && book.byNumber(recall.id()) != null) {
-            send.recall(book.byNumber(recall.id()), recall.shot());
+            send.recall(book.byNumber(recall.id()), recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce && book.byNumber(bounce.id()) != null) {
-            relay.ended(book.byNumber(bounce.id()), Entry.End.BOUNCED, bounce.stayAway());
+            relay.ended(book.byNumber(bounce.id()), Entry.End.BOUNCED, bounce.retryAfter());
         } else if (action instanceof Action.Terminate terminate && book.byNumber(terminate.id()) != null) {
             relay.ended(book.byNumber(terminate.id()), Entry.End.TERMINATED, 0);
-        } else if (action instanceof Action.Wake wake) {
-            timers.at(now + wake.delay(), () -> route.tell(new Event.Woken(wake.token())));
+        } else if (action instanceof Action.StartTimer wake) {
+            timers.at(now + wake.delay(), () -> route.tell(new Event.TimerExpired(wake.token())));
         } else if (action instanceof Action.Probe probe) {
             send.probe(probe.endpoint(), now);
-        } else if (action instanceof Action.Withhold withhold) {
+        } else if (action instanceof Action.CancelUnsentCalls withhold) {
             send.withhold(withhold.endpoint());
-        } else if (action instanceof Action.FollowList) {
+        } else if (action instanceof Action.SetListSubscription) {
             watch.ask(now);
-        } else if (action instanceof Action.DropConnections drop) {
+        } else if (action instanceof Action.CloseIdleConnections drop) {
             send.dropConnections(drop.endpoint());
         } else if (action instanceof Action.Log line) {
             log.info(line.text());
--- a/src/main/java/terndyke/node/stage/Relay.java
+++ b/src/main/java/terndyke/node/stage/Relay.java
@@ -63,14 +63,14 @@
         counters.add(Count.BOUNCED_AT_ONCE);
         trace("refused", owed);
         answer(owed).refused(after);
-        route.tell(new Event.EndTold(owed.taken.number()));
+        route.tell(new Event.FinalAnswerDelivered(owed.taken.number()));
     }
 
     /** Tells the client that its record was given up in the turn of its taking. */
     void failed(Owed owed) {
         trace("failed", owed);
         answer(owed).failed(500);
-        route.tell(new Event.EndTold(owed.taken.number()));
+        route.tell(new Event.FinalAnswerDelivered(owed.taken.number()));
     }
 
     private static Handover.Answer answer(Owed owed) {
@@ -110,7 +110,7 @@
     /** Owes again what the last life had not told, or lets the module know that it was told. */
     void restore(Owed owed) {
         if (owed.told) {
-            route.tell(new Event.EndTold(owed.taken.number()));
+            route.tell(new Event.FinalAnswerDelivered(owed.taken.number()));
         } else {
             owed.endedAt = desk.now();
             owing.add(owed);
@@ -257,6 +257,6 @@
         }
         owing.remove(owed);
         book.told(owed);
-        route.tell(new Event.EndTold(owed.taken.number()));
+        route.tell(new Event.FinalAnswerDelivered(owed.taken.number()));
     }
 }
--- a/src/main/java/terndyke/node/stage/Route.java
+++ b/src/main/java/terndyke/node/stage/Route.java
@@ -27,6 +27,6 @@
     List<Action> turn(long now) {
         List<Event> told = events;
         events = new ArrayList<>();
-        return dispatcher.turn(now, told);
+        return dispatcher.handleEvents(now, told);
     }
 }
--- a/src/main/java/terndyke/node/stage/Send.java
+++ b/src/main/java/terndyke/node/stage/Send.java
@@ -48,9 +48,9 @@
     }
 
     /** Books a shot and starts its call. What cannot leave comes back as not sent. */
-    void shoot(Owed owed, Action.Shoot shoot, long now) {
+    void shoot(Owed owed, Action.SendShot shoot, long now) {
         long endpoint = shoot.endpoint();
-        long notPast = shoot.notPast();
+        long notPast = shoot.deadline();
         if (owed == null) {
             route.tell(new Event.ShotEnded(shoot.id(), 0, endpoint, Ending.NOT_SENT, 0, 0, false, true, NO_REPORT));
             return;
@@ -266,7 +266,7 @@
         }
         boolean stray = owed.shots.stream().anyMatch(shot -> shot.ending == null);
         if (owed.open() || !owed.told || stray) {
-            route.tell(new Event.RecordOwed(Desk.event(owed, now), earlier, !owed.open()));
+            route.tell(new Event.RecordRestored(Desk.event(owed, now), earlier, !owed.open()));
         }
     }
 
--- a/src/test/java/terndyke/adapter/WireTest.java
+++ b/src/test/java/terndyke/adapter/WireTest.java
@@ -19,7 +19,7 @@
 import terndyke.api.Action;
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 
 class WireTest {
     private static byte[] bytes(String hex) {
@@ -50,7 +50,7 @@
     void aRecordIsReadFieldByField() throws WireException {
         Event event = read("000c 0003", "0003 000a3d985d3a91c4 0000 00000000 91f03b7c55d20a64 3fceb851eb851eb8"
                 + "3f889374bc6a7efa 42640000 01").get(0).event();
-        assertEquals(new Event.RecordTaken(0x000a3d985d3a91c4L, 0, 0, 0x91f03b7c55d20a64L, 240_000, 12_000, 57, false,
+        assertEquals(new Event.RecordAccepted(0x000a3d985d3a91c4L, 0, 0, 0x91f03b7c55d20a64L, 240_000, 12_000, 57, false,
                 false, false), event);
     }
 
@@ -59,11 +59,11 @@
         Event.ShotEnded ended = (Event.ShotEnded) read("000c 0003", "0005 000a3d985d3a91c4 0a124a07 138b"
                 + "3f92f1a9fbe76c8b 000000fa 02 03 01 02 3f800000 40000000").get(0).event();
         assertEquals(0x0a124a07138bL, ended.endpoint());
-        assertEquals(250_000, ended.waitTold());
-        assertEquals(3, ended.shot());
-        assertEquals(18_500, ended.spent());
-        assertTrue(ended.recordOver());
-        assertEquals(2f, ended.report()[1]);
+        assertEquals(250_000, ended.retryAfter());
+        assertEquals(3, ended.shotIndex());
+        assertEquals(18_500, ended.elapsed());
+        assertTrue(ended.recordEnded());
+        assertEquals(2f, ended.loadReport()[1]);
     }
 
     @Test
@@ -75,9 +75,9 @@
         frame.putInt(frame.capacity()).putDouble(8.0).putInt(3);
         frame.put(bytes(record("000b 00 00000000 00000002", 48))).put(bytes(record("000c 0003", 48)));
         frame.put(bytes(record("0002 0000000000000029 00 01", 48))).put(tail);
-        Event.ListTold told = (Event.ListTold) new BatchReader().read(frame).items().get(0).event();
-        assertTrue(told.whole());
-        assertEquals(new ListedEndpoint(0x0a9011f213b4L, 1, 0, 1.5f, Standing.DRAINING, 6_100_000, 57),
+        Event.ListReceived told = (Event.ListReceived) new BatchReader().read(frame).items().get(0).event();
+        assertTrue(told.complete());
+        assertEquals(new ListedEndpoint(0x0a9011f213b4L, 1, 0, 1.5f, EndpointState.DRAINING, 6_100_000, 57),
                 told.entries().get(1));
     }
 
@@ -85,8 +85,8 @@
     void actionsAreWrittenByteForByte() {
         ReplyWriter writer = new ReplyWriter();
         writer.instance(3);
-        writer.action(new Action.Shoot(0x000a3d985d3a91c4L, 0x0a124a07138bL, 8_123_000, Long.MAX_VALUE));
-        writer.action(new Action.Wake(500_000, 0x4d));
+        writer.action(new Action.SendShot(0x000a3d985d3a91c4L, 0x0a124a07138bL, 8_123_000, Long.MAX_VALUE));
+        writer.action(new Action.StartTimer(500_000, 0x4d));
         writer.action(new Action.Log("two servers known"));
         writer.action(new Action.Bounce(7, 500_000));
         writer.action(new Action.Terminate(7));
--- /dev/null
+++ b/src/test/java/terndyke/decision/DispatcherFixture.java
@@ -0,0 +1,89 @@
+package terndyke.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+
+import terndyke.api.Action;
+import terndyke.api.DeliverySettings;
+import terndyke.api.DeliverySettings.ListedRateAccuracy;
+import terndyke.api.Ending;
+import terndyke.api.Event;
+import terndyke.api.ListedEndpoint;
+import terndyke.api.ListedEndpoint.EndpointState;
+import terndyke.api.ServiceGrade;
+import terndyke.api.ServiceGrade.RepeatSemantics;
+
+/** State for the tests: terms with one grade of each effect, and a dispatcher that knows two endpoints. */
+final class DispatcherFixture {
+    static final int IDEMPOTENT = 0;
+    static final int DEDUPLICATED = 1;
+    static final int UNREPEATABLE = 2;
+    static final int IN_ORDER = 3;
+    static final long START_MICROS = 100_000_000;
+    static final float[] NO_LOAD_REPORT = {};
+
+    private DispatcherFixture() { }
+
+    static DeliverySettings settings(boolean copies, boolean probes, int holdingRoom) {
+        return settings(copies, probes, holdingRoom, 2, 0, 8, List.of());
+    }
+
+    static DeliverySettings settings(boolean copies, boolean probes, int holdingRoom, int nodes, int nodeNumber, int slots,
+            List<Double> quotas) {
+        return settings(copies, probes, holdingRoom, nodes, nodeNumber, slots, quotas, false, 0);
+    }
+
+    static DeliverySettings settings(boolean copies, boolean probes, int holdingRoom, int nodes, int nodeNumber, int slots,
+            List<Double> quotas, boolean listOnRequest, double crossingPrice) {
+        return settings(1, copies, probes, holdingRoom, nodes, nodeNumber, slots, quotas, listOnRequest, crossingPrice);
+    }
+
+    static DeliverySettings settings(long seed, boolean copies, boolean probes, int holdingRoom, int nodes, int nodeNumber, int slots,
+            List<Double> quotas, boolean listOnRequest, double crossingPrice) {
+        List<ServiceGrade> grades = List.of(
+                new ServiceGrade(RepeatSemantics.IDEMPOTENT, true, 0, false, 1_000_000, 0, 10_000_000, 1, 0.5),
+                new ServiceGrade(RepeatSemantics.DEDUPLICATED, false, 4_000_000, false, 1_000_000, 0, 10_000_000, 1, 0.5),
+                new ServiceGrade(RepeatSemantics.UNREPEATABLE, false, 0, false, 1_000_000, 0, 10_000_000, 1, 0.5),
+                new ServiceGrade(RepeatSemantics.IDEMPOTENT, true, 0, true, 1_000_000, 0, 10_000_000, 1, 0.5));
+        return new DeliverySettings(seed, nodes, nodeNumber, 0, slots, holdingRoom, 6, copies, true, probes, 2_000_000,
+                listOnRequest, 0, ListedRateAccuracy.ROUGH, false, 0.1, grades, quotas, List.of(false, true), List.of(1, 5), -1, -1, 500_000, 2, 2_000_000,
+                0.2, 10_000_000, 100_000, 20_000, 5_000, 15_000_000, true, List.of(), crossingPrice, 0);
+    }
+
+    /** Destination 1 with endpoints 11 in zone 0 and 12 in zone 1, of that kind (1: apart, five records a call). */
+    static Dispatcher dispatcher(DeliverySettings terms, int kind) {
+        Dispatcher dispatcher = new Dispatcher(terms);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(11, 0, kind, EndpointState.READY),
+                listedEndpoint(12, 1, kind, EndpointState.READY)), true)));
+        return dispatcher;
+    }
+
+    static ListedEndpoint listedEndpoint(long endpoint, int zone, int kind, EndpointState standing) {
+        return new ListedEndpoint(endpoint, zone, kind, 0, standing, 0, 1);
+    }
+
+    static Event recordAccepted(long id, int grade) {
+        return recordAccepted(id, grade, 0, 1);
+    }
+
+    static Event recordAccepted(long id, int grade, int tenant, int destination) {
+        return new Event.RecordAccepted(id, grade, tenant, 7, 10_000_000, 0, destination, false, false, false);
+    }
+
+    static Event shotEnded(long id, int shot, long endpoint, Ending ending, long wait) {
+        return new Event.ShotEnded(id, shot, endpoint, ending, 200_000, wait, false, ending == Ending.DONE, NO_LOAD_REPORT);
+    }
+
+    static <T extends Action> List<T> actionsOfType(Class<T> type, List<Action> actions) {
+        return actions.stream().filter(type::isInstance).map(type::cast).toList();
+    }
+
+    /** Wakes the dispatcher every ten milliseconds up to that time, and returns all that it did. */
+    static List<Action> expireTimersUntil(Dispatcher dispatcher, long from, long until) {
+        List<Action> all = new ArrayList<>();
+        for (long now = from; now <= until; now += 10_000) {
+            all.addAll(dispatcher.handleEvents(now, List.of(new Event.TimerExpired(0))));
+        }
+        return all;
+    }
+}
--- a/src/test/java/terndyke/decision/DispatcherTest.java
+++ b/src/test/java/terndyke/decision/DispatcherTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static terndyke.decision.Given.START;
-import static terndyke.decision.Given.dispatcher;
-import static terndyke.decision.Given.ended;
-import static terndyke.decision.Given.listed;
-import static terndyke.decision.Given.only;
-import static terndyke.decision.Given.taken;
-import static terndyke.decision.Given.terms;
-import static terndyke.decision.Given.wakeUntil;
+import static terndyke.decision.DispatcherFixture.START_MICROS;
+import static terndyke.decision.DispatcherFixture.dispatcher;
+import static terndyke.decision.DispatcherFixture.shotEnded;
+import static terndyke.decision.DispatcherFixture.listedEndpoint;
+import static terndyke.decision.DispatcherFixture.actionsOfType;
+import static terndyke.decision.DispatcherFixture.recordAccepted;
+import static terndyke.decision.DispatcherFixture.settings;
+import static terndyke.decision.DispatcherFixture.expireTimersUntil;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -22,233 +22,233 @@
 import terndyke.api.Action.Bounce;
 import terndyke.api.Action.Probe;
 import terndyke.api.Action.Recall;
-import terndyke.api.Action.Shoot;
+import terndyke.api.Action.SendShot;
 import terndyke.api.Action.Terminate;
 import terndyke.api.Ending;
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 
 class DispatcherTest {
-    private static List<Event> takenAll(int records, int grade) {
-        return LongStream.rangeClosed(1, records).mapToObj(id -> taken(id, grade)).toList();
+    private static List<Event> recordsAccepted(int records, int grade) {
+        return LongStream.rangeClosed(1, records).mapToObj(id -> recordAccepted(id, grade)).toList();
     }
 
     @Test
     void freshRoutesShareFirstRecordsInTurn() {
-        List<Action> actions = dispatcher(terms(true, true, 100), 0).turn(START, takenAll(4, Given.IDEMPOTENT));
-        assertEquals(List.of(11L, 12L, 11L, 12L), only(Shoot.class, actions).stream().map(Shoot::endpoint).toList());
+        List<Action> actions = dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS, recordsAccepted(4, DispatcherFixture.IDEMPOTENT));
+        assertEquals(List.of(11L, 12L, 11L, 12L), actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList());
     }
 
     @Test
     void aRecordWhoseSlotWentToAnotherGoesOnWaiting() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Event> events = new ArrayList<>(List.of(new Event.ListTold(
-                List.of(new terndyke.api.ListedEndpoint(21, 0, 0, 0, Standing.READY, 0, 2)), false)));
-        events.addAll(takenAll(8, Given.IDEMPOTENT));
-        events.add(new Event.RecordTaken(9, Given.IDEMPOTENT, 0, 0, 10_000_000, 0, 2, false, false, false));
-        Shoot first = only(Shoot.class, dispatcher.turn(START, events)).get(0);
-        List<Action> later = dispatcher.turn(START + 200_000, List.of(ended(first.id(), 0, first.endpoint(),
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Event> events = new ArrayList<>(List.of(new Event.ListReceived(
+                List.of(new terndyke.api.ListedEndpoint(21, 0, 0, 0, EndpointState.READY, 0, 2)), false)));
+        events.addAll(recordsAccepted(8, DispatcherFixture.IDEMPOTENT));
+        events.add(new Event.RecordAccepted(9, DispatcherFixture.IDEMPOTENT, 0, 0, 10_000_000, 0, 2, false, false, false));
+        SendShot first = actionsOfType(SendShot.class, dispatcher.handleEvents(START_MICROS, events)).get(0);
+        List<Action> later = dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(first.id(), 0, first.endpoint(),
                 Ending.DONE, 0)));
-        assertEquals(1, only(Shoot.class, later).size());
+        assertEquals(1, actionsOfType(SendShot.class, later).size());
     }
 
     @Test
     void anUnansweredRecordEndsBeforeItsTime() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.UNREPEATABLE)));
-        List<Action> actions = wakeUntil(dispatcher, START + 10_000, START + 10_000_000);
-        assertEquals(List.of(new Terminate(1)), only(Terminate.class, actions));
-        assertEquals(0, only(Shoot.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.UNREPEATABLE)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 10_000_000);
+        assertEquals(List.of(new Terminate(1)), actionsOfType(Terminate.class, actions));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
     }
 
     @Test
     void aRecordWithoutAnyEndpointIsBouncedBeforeItsTime() {
-        Dispatcher dispatcher = new Dispatcher(terms(true, true, 100));
-        dispatcher.turn(START, List.of(taken(1, Given.UNREPEATABLE)));
-        assertEquals(1, only(Bounce.class, wakeUntil(dispatcher, START + 10_000, START + 10_000_000)).size());
+        Dispatcher dispatcher = new Dispatcher(settings(true, true, 100));
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.UNREPEATABLE)));
+        assertEquals(1, actionsOfType(Bounce.class, expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 10_000_000)).size());
     }
 
     @Test
     void anUnrepeatableRecordThatMayHaveRunIsTerminatedAtOnce() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.UNREPEATABLE)));
-        List<Action> actions = dispatcher.turn(START + 200_000, List.of(ended(1, 0, 11, Ending.ERROR, 0)));
-        assertEquals(List.of(new Terminate(1)), only(Terminate.class, actions));
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.UNREPEATABLE)));
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 0, 11, Ending.ERROR, 0)));
+        assertEquals(List.of(new Terminate(1)), actionsOfType(Terminate.class, actions));
     }
 
     @Test
     void anUnrepeatableRecordThatNeverRanIsShotAgain() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.UNREPEATABLE)));
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 200_000,
-                List.of(ended(1, 0, 11, Ending.NOT_CONNECTED, 0))));
-        actions.addAll(wakeUntil(dispatcher, START + 210_000, START + 500_000));
-        assertEquals(1, only(Shoot.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.UNREPEATABLE)));
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 200_000,
+                List.of(shotEnded(1, 0, 11, Ending.NOT_CONNECTED, 0))));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 500_000));
+        assertEquals(1, actionsOfType(SendShot.class, actions).size());
     }
 
     @Test
     void aDeduplicatedRecordThatMayHaveRunStaysInItsGroup() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.DEDUPLICATED)));
-        dispatcher.turn(START + 200_000, List.of(ended(1, 0, 11, Ending.ERROR, 0)));
-        List<Action> actions = wakeUntil(dispatcher, START + 210_000, START + 2_000_000);
-        assertEquals(List.of(11L), only(Shoot.class, actions).stream().map(Shoot::endpoint).toList());
-        assertEquals(0, only(Bounce.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.DEDUPLICATED)));
+        dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 0, 11, Ending.ERROR, 0)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 2_000_000);
+        assertEquals(List.of(11L), actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList());
+        assertEquals(0, actionsOfType(Bounce.class, actions).size());
     }
 
     @Test
     void aDeduplicatedRecordIsTerminatedWhenItsWindowIsOver() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.DEDUPLICATED)));
-        dispatcher.turn(START + 200_000, List.of(new Event.ListTold(List.of(listed(11, 0, 0, Standing.GONE)), false),
-                ended(1, 0, 11, Ending.TIMED_OUT, 0)));
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.DEDUPLICATED)));
+        dispatcher.handleEvents(START_MICROS + 200_000, List.of(new Event.ListReceived(List.of(listedEndpoint(11, 0, 0, EndpointState.GONE)), false),
+                shotEnded(1, 0, 11, Ending.TIMED_OUT, 0)));
         assertEquals(List.of(new Terminate(1)),
-                only(Terminate.class, wakeUntil(dispatcher, START + 210_000, START + 4_000_000)));
+                actionsOfType(Terminate.class, expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 4_000_000)));
     }
 
     @Test
     void nothingIsShotBeforeAToldWaitIsOver() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT)));
-        List<Action> told = dispatcher.turn(START + 200_000,
-                List.of(ended(1, 0, 11, Ending.FULL, 700_000), taken(2, Given.IDEMPOTENT)));
-        assertTrue(told.contains(new Action.Withhold(11)), "what is on its way to leaving stays");
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 210_000, START + 899_000)).size());
-        assertFalse(only(Shoot.class, wakeUntil(dispatcher, START + 900_000, START + 2_500_000)).isEmpty());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+        List<Action> told = dispatcher.handleEvents(START_MICROS + 200_000,
+                List.of(shotEnded(1, 0, 11, Ending.FULL, 700_000), recordAccepted(2, DispatcherFixture.IDEMPOTENT)));
+        assertTrue(told.contains(new Action.CancelUnsentCalls(11)), "what is on its way to leaving stays");
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 899_000)).size());
+        assertFalse(actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 900_000, START_MICROS + 2_500_000)).isEmpty());
     }
 
     @Test
     void theLongestWaitOfOneCallBinds() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 1);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 1, Standing.GONE)), false),
-                taken(1, Given.IDEMPOTENT), taken(2, Given.IDEMPOTENT)));
-        dispatcher.turn(START + 200_000, List.of(ended(1, 0, 11, Ending.FULL, 300_000),
-                ended(2, 0, 11, Ending.FULL, 700_000)));
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 210_000, START + 899_000)).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 1);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 1, EndpointState.GONE)), false),
+                recordAccepted(1, DispatcherFixture.IDEMPOTENT), recordAccepted(2, DispatcherFixture.IDEMPOTENT)));
+        dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 0, 11, Ending.FULL, 300_000),
+                shotEnded(2, 0, 11, Ending.FULL, 700_000)));
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 899_000)).size());
     }
 
     @Test
     void recordsOfOneTurnShareACallAndASlot() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 1);
-        List<Action> actions = dispatcher.turn(START, takenAll(50, Given.IDEMPOTENT));
-        assertEquals(40, only(Shoot.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 1);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, recordsAccepted(50, DispatcherFixture.IDEMPOTENT));
+        assertEquals(40, actionsOfType(SendShot.class, actions).size());
     }
 
     @Test
     void nothingNewGoesToADrainingEndpoint() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(11, 0, 0, Standing.DRAINING)), false)));
-        List<Action> actions = dispatcher.turn(START + 5_000, takenAll(3, Given.IDEMPOTENT));
-        assertEquals(List.of(12L, 12L, 12L), only(Shoot.class, actions).stream().map(Shoot::endpoint).toList());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(11, 0, 0, EndpointState.DRAINING)), false)));
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 5_000, recordsAccepted(3, DispatcherFixture.IDEMPOTENT));
+        assertEquals(List.of(12L, 12L, 12L), actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList());
     }
 
     @Test
     void anEndpointMissingFromAWholeListIsGone() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(new Event.ListTold(
-                List.of(listed(12, 1, 0, Standing.READY)), true), taken(1, Given.IDEMPOTENT)));
-        assertEquals(List.of(12L), only(Shoot.class, actions).stream().map(Shoot::endpoint).toList());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(
+                List.of(listedEndpoint(12, 1, 0, EndpointState.READY)), true), recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+        assertEquals(List.of(12L), actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList());
     }
 
     @Test
     void recordsOfOneKeyGoOneAtATimeAndRestAfterATimeOut() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> first = dispatcher.turn(START, takenAll(2, Given.IN_ORDER));
-        assertEquals(List.of(1L), only(Shoot.class, first).stream().map(Shoot::id).toList());
-        dispatcher.turn(START + 100_000, List.of(new Event.RecordWithdrawn(1)));
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 110_000, START + 190_000)).size());
-        dispatcher.turn(START + 200_000, List.of(ended(1, 0, 11, Ending.RECALLED, 0)));
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 210_000, START + 290_000)).size());
-        assertEquals(1, only(Shoot.class, wakeUntil(dispatcher, START + 301_000, START + 320_000)).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> first = dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IN_ORDER));
+        assertEquals(List.of(1L), actionsOfType(SendShot.class, first).stream().map(SendShot::id).toList());
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(new Event.RecordWithdrawn(1)));
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 110_000, START_MICROS + 190_000)).size());
+        dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 0, 11, Ending.RECALLED, 0)));
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 290_000)).size());
+        assertEquals(1, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 301_000, START_MICROS + 320_000)).size());
     }
 
     @Test
     void noCopyGoesSideBySideWhereCopiesAreBarred() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT)));
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 10_000, START + 9_000_000)).size());
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 9_000_000)).size());
     }
 
     @Test
-    void silenceStopsShotsAndCallsForProbes() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, takenAll(4, Given.IDEMPOTENT));
-        wakeUntil(dispatcher, START + 10_000, START + 3_000_000);
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 3_010_000, List.of(taken(9, Given.IDEMPOTENT))));
-        actions.addAll(wakeUntil(dispatcher, START + 3_020_000, START + 7_000_000));
-        assertEquals(0, only(Shoot.class, actions).size());
-        assertTrue(only(Probe.class, actions).size() >= 1);
+    void missingResponsesStopShotsAndTriggerProbes() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(4, DispatcherFixture.IDEMPOTENT));
+        expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 3_000_000);
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 3_010_000, List.of(recordAccepted(9, DispatcherFixture.IDEMPOTENT))));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 3_020_000, START_MICROS + 7_000_000));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
+        assertTrue(actionsOfType(Probe.class, actions).size() >= 1);
     }
 
     @Test
     void aReturningDestinationGetsNoMoreThanItsBudget() {
-        Dispatcher dispatcher = dispatcher(terms(true, false, 100), 0);
-        dispatcher.turn(START, takenAll(4, Given.IDEMPOTENT));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.RESET, 0), ended(2, 0, 12, Ending.RESET, 0),
-                ended(3, 0, 11, Ending.RESET, 0), ended(4, 0, 12, Ending.RESET, 0)));
-        List<Action> actions = wakeUntil(dispatcher, START + 110_000, START + 4_500_000);
-        assertEquals(1, only(Shoot.class, actions).size()); // one call a span, in turn by two nodes
+        Dispatcher dispatcher = dispatcher(settings(true, false, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(4, DispatcherFixture.IDEMPOTENT));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.RESET, 0), shotEnded(2, 0, 12, Ending.RESET, 0),
+                shotEnded(3, 0, 11, Ending.RESET, 0), shotEnded(4, 0, 12, Ending.RESET, 0)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 110_000, START_MICROS + 4_500_000);
+        assertEquals(1, actionsOfType(SendShot.class, actions).size()); // one call a span, in turn by two nodes
     }
 
     @Test
-    void failuresInARowOutweighAGoodPast() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, takenAll(8, Given.IDEMPOTENT));
+    void consecutiveFailuresOutweighEarlierSuccesses() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(8, DispatcherFixture.IDEMPOTENT));
         for (int id = 1; id <= 5; id++) {
-            dispatcher.turn(START, List.of(ended(id, 0, 11, Ending.DONE, 0)));
+            dispatcher.handleEvents(START_MICROS, List.of(shotEnded(id, 0, 11, Ending.DONE, 0)));
         }
-        dispatcher.turn(START + 1_100_000, List.of(ended(6, 0, 11, Ending.NOT_CONNECTED, 0),
-                ended(7, 0, 11, Ending.NOT_CONNECTED, 0), ended(8, 0, 11, Ending.NOT_CONNECTED, 0)));
-        List<Action> actions = wakeUntil(dispatcher, START + 1_110_000, START + 5_110_000);
-        assertEquals(0, only(Shoot.class, actions).size());
-        assertFalse(only(Probe.class, actions).isEmpty());
+        dispatcher.handleEvents(START_MICROS + 1_100_000, List.of(shotEnded(6, 0, 11, Ending.NOT_CONNECTED, 0),
+                shotEnded(7, 0, 11, Ending.NOT_CONNECTED, 0), shotEnded(8, 0, 11, Ending.NOT_CONNECTED, 0)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 1_110_000, START_MICROS + 5_110_000);
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
+        assertFalse(actionsOfType(Probe.class, actions).isEmpty());
     }
 
     @Test
-    void aFullRoomHandsARecordBackBeforeTheDoorDoes() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 12), 0);
-        List<Action> actions = dispatcher.turn(START, takenAll(12, Given.UNREPEATABLE));
-        assertEquals(2, only(Bounce.class, actions).size());
+    void recordsAreBouncedBeforePendingRecordsReachTheirLimit() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 12), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, recordsAccepted(12, DispatcherFixture.UNREPEATABLE));
+        assertEquals(2, actionsOfType(Bounce.class, actions).size());
     }
 
     @Test
     void theOtherCopyIsRecalledWhenOneIsDone() {
-        Dispatcher dispatcher = dispatcher(terms(true, false, 100), 1);
+        Dispatcher dispatcher = dispatcher(settings(true, false, 100), 1);
         for (int id = 1; id <= 20; id++) {
-            Shoot shoot = only(Shoot.class, dispatcher.turn(START, List.of(taken(id, Given.IDEMPOTENT)))).get(0);
-            dispatcher.turn(START, List.of(ended(id, 0, shoot.endpoint(), Ending.DONE, 0)));
+            SendShot shoot = actionsOfType(SendShot.class, dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(id, DispatcherFixture.IDEMPOTENT)))).get(0);
+            dispatcher.handleEvents(START_MICROS, List.of(shotEnded(id, 0, shoot.endpoint(), Ending.DONE, 0)));
         }
-        dispatcher.turn(START + 1_000_000, List.of(taken(30, Given.IDEMPOTENT)));
-        List<Shoot> copies = only(Shoot.class, wakeUntil(dispatcher, START + 1_010_000, START + 3_000_000));
+        dispatcher.handleEvents(START_MICROS + 1_000_000, List.of(recordAccepted(30, DispatcherFixture.IDEMPOTENT)));
+        List<SendShot> copies = actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 1_010_000, START_MICROS + 3_000_000));
         assertEquals(1, copies.size());
-        List<Action> actions = dispatcher.turn(START + 3_100_000, List.of(ended(30, 1, copies.get(0).endpoint(),
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 3_100_000, List.of(shotEnded(30, 1, copies.get(0).endpoint(),
                 Ending.DONE, 0)));
-        assertEquals(List.of(new Recall(30, 0)), only(Recall.class, actions));
+        assertEquals(List.of(new Recall(30, 0)), actionsOfType(Recall.class, actions));
     }
 
     @Test
     void outcomesOfUnknownRecordsAndShotsArePassedOver() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(ended(5, 0, 11, Ending.DONE, 0),
-                new Event.RecordWithdrawn(5), new Event.ListFailed(), new Event.NoteReceived(1, new byte[0]),
-                new Event.ProbeEnded(99, Ending.DONE, 1, Given.NO_REPORT)));
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(shotEnded(5, 0, 11, Ending.DONE, 0),
+                new Event.RecordWithdrawn(5), new Event.ListRequestFailed(), new Event.PeerMessageReceived(1, new byte[0]),
+                new Event.ProbeEnded(99, Ending.DONE, 1, DispatcherFixture.NO_LOAD_REPORT)));
         assertEquals(List.of(), actions);
     }
 
     @Test
     void sameEventsGiveSameActions() {
-        assertEquals(dispatcher(terms(true, true, 100), 0).turn(START, takenAll(40, Given.DEDUPLICATED)),
-                dispatcher(terms(true, true, 100), 0).turn(START, takenAll(40, Given.DEDUPLICATED)));
+        assertEquals(dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS, recordsAccepted(40, DispatcherFixture.DEDUPLICATED)),
+                dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS, recordsAccepted(40, DispatcherFixture.DEDUPLICATED)));
     }
 
     @Test
     void aShareUnderOneRecordANodeAdmitsOne() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100, 200, 0, 1, List.of(10.0)), 0);
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT, 0, 1),
-                taken(2, Given.IDEMPOTENT, 0, 1), taken(3, Given.IDEMPOTENT, 1, 1))));
-        actions.addAll(dispatcher.turn(START + 1_000, List.of(ended(1, 0, 11, Ending.DONE, 0))));
-        assertEquals(List.of(1L, 3L), only(Shoot.class, actions).stream().map(Shoot::id).toList());
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100, 200, 0, 1, List.of(10.0)), 0);
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT, 0, 1),
+                recordAccepted(2, DispatcherFixture.IDEMPOTENT, 0, 1), recordAccepted(3, DispatcherFixture.IDEMPOTENT, 1, 1))));
+        actions.addAll(dispatcher.handleEvents(START_MICROS + 1_000, List.of(shotEnded(1, 0, 11, Ending.DONE, 0))));
+        assertEquals(List.of(1L, 3L), actionsOfType(SendShot.class, actions).stream().map(SendShot::id).toList());
     }
 
     @Test
@@ -256,12 +256,12 @@
         for (int nodes : new int[] {2, 40, 200}) {
             int shots = 0;
             for (int number = 0; number < nodes; number++) {
-                Dispatcher dispatcher = dispatcher(terms(true, false, 100, nodes, number, 8, List.of()), 0);
-                dispatcher.turn(START, takenAll(4, Given.IDEMPOTENT));
-                dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.RESET, 0),
-                        ended(2, 0, 12, Ending.RESET, 0), ended(3, 0, 11, Ending.RESET, 0),
-                        ended(4, 0, 12, Ending.RESET, 0)));
-                shots += only(Shoot.class, wakeUntil(dispatcher, START + 110_000, START + 4_100_000)).size();
+                Dispatcher dispatcher = dispatcher(settings(true, false, 100, nodes, number, 8, List.of()), 0);
+                dispatcher.handleEvents(START_MICROS, recordsAccepted(4, DispatcherFixture.IDEMPOTENT));
+                dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.RESET, 0),
+                        shotEnded(2, 0, 12, Ending.RESET, 0), shotEnded(3, 0, 11, Ending.RESET, 0),
+                        shotEnded(4, 0, 12, Ending.RESET, 0)));
+                shots += actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 110_000, START_MICROS + 4_100_000)).size();
             }
             assertTrue(shots >= 1 && shots <= Math.max(2, nodes / 5 + 1), nodes + " nodes shot " + shots); // two spans
         }
@@ -271,19 +271,19 @@
     @Test
     void refusedNodesComeBackAtDifferentTimesHoweverManyThereAre() {
         for (int nodes : new int[] {2, 200}) {
-            Dispatcher dispatcher = dispatcher(terms(true, true, 100, nodes, 0, 8, List.of()), 0);
-            dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 0, Standing.GONE)), false)));
+            Dispatcher dispatcher = dispatcher(settings(true, true, 100, nodes, 0, 8, List.of()), 0);
+            dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 0, EndpointState.GONE)), false)));
             List<Long> rests = new ArrayList<>();
-            long now = START;
+            long now = START_MICROS;
             for (int id = 1; id <= 3; id++) {
                 long from = now += 5_000_000;
-                dispatcher.turn(now, List.of(taken(id, Given.IDEMPOTENT)));
-                List<Action> actions = dispatcher.turn(now, List.of(ended(id, 0, 11, Ending.FULL, 0)));
-                while (only(Shoot.class, actions).isEmpty() && now < from + 4_000_000) {
-                    actions = dispatcher.turn(now += 10_000, List.of(new Event.Woken(0)));
+                dispatcher.handleEvents(now, List.of(recordAccepted(id, DispatcherFixture.IDEMPOTENT)));
+                List<Action> actions = dispatcher.handleEvents(now, List.of(shotEnded(id, 0, 11, Ending.FULL, 0)));
+                while (actionsOfType(SendShot.class, actions).isEmpty() && now < from + 4_000_000) {
+                    actions = dispatcher.handleEvents(now += 10_000, List.of(new Event.TimerExpired(0)));
                 }
                 rests.add(now - from);
-                dispatcher.turn(now, List.of(ended(id, 1, 11, Ending.DONE, 0)));
+                dispatcher.handleEvents(now, List.of(shotEnded(id, 1, 11, Ending.DONE, 0)));
             }
             assertTrue(rests.stream().allMatch(rest -> rest >= 500_000 && rest <= 4_100_000), rests.toString());
             assertTrue(rests.stream().distinct().count() > 1, rests.toString());
@@ -292,156 +292,156 @@
 
     @Test
     void oneHungCallDoesNotStopANodeOfTwoSlots() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100, 200, 0, 2, List.of()), 0);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(new ListedEndpoint(21, 0, 0, 0, Standing.READY, 0, 2)),
-                false), taken(1, Given.IDEMPOTENT)));
-        wakeUntil(dispatcher, START + 10_000, START + 1_500_000);
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 1_510_000, List.of(taken(2, Given.IDEMPOTENT),
-                taken(3, Given.IDEMPOTENT, 0, 2))));
-        assertEquals(List.of(21L), only(Shoot.class, actions).stream().map(Shoot::endpoint).toList());
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100, 200, 0, 2, List.of()), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(new ListedEndpoint(21, 0, 0, 0, EndpointState.READY, 0, 2)),
+                false), recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+        expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 1_500_000);
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 1_510_000, List.of(recordAccepted(2, DispatcherFixture.IDEMPOTENT),
+                recordAccepted(3, DispatcherFixture.IDEMPOTENT, 0, 2))));
+        assertEquals(List.of(21L), actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList());
     }
 
     @Test
-    void aLostCallGivesUpItsSlotWhereNoneIsFree() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100, 200, 0, 1, List.of()), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT), taken(2, Given.IDEMPOTENT)));
-        List<Action> actions = wakeUntil(dispatcher, START + 10_000, START + 9_900_000);
-        assertEquals(List.of(new Recall(1, 0)), only(Recall.class, actions));
+    void anOverdueCallIsRecalledWhereNoSlotIsFree() {
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100, 200, 0, 1, List.of()), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT), recordAccepted(2, DispatcherFixture.IDEMPOTENT)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 9_900_000);
+        assertEquals(List.of(new Recall(1, 0)), actionsOfType(Recall.class, actions));
     }
 
     @Test
     void aResetKeepsTheRuleOfEachGradeAndClosesNothingElse() {
-        for (int grade : new int[] {Given.IDEMPOTENT, Given.DEDUPLICATED, Given.UNREPEATABLE}) {
-            Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-            dispatcher.turn(START, List.of(taken(1, grade)));
-            List<Action> actions = new ArrayList<>(dispatcher.turn(START + 200_000,
-                    List.of(ended(1, 0, 11, Ending.RESET, 0))));
-            actions.addAll(wakeUntil(dispatcher, START + 210_000, START + 2_000_000));
-            List<Long> again = only(Shoot.class, actions).stream().map(Shoot::endpoint).toList();
-            assertEquals(grade == Given.UNREPEATABLE ? 1 : 0, only(Terminate.class, actions).size());
-            assertEquals(grade == Given.UNREPEATABLE, again.isEmpty());
-            assertTrue(grade != Given.DEDUPLICATED || again.get(0) == 11L, "not in its group");
-            assertEquals(List.of(), only(Action.DropConnections.class, actions));
+        for (int grade : new int[] {DispatcherFixture.IDEMPOTENT, DispatcherFixture.DEDUPLICATED, DispatcherFixture.UNREPEATABLE}) {
+            Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+            dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, grade)));
+            List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 200_000,
+                    List.of(shotEnded(1, 0, 11, Ending.RESET, 0))));
+            actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 2_000_000));
+            List<Long> again = actionsOfType(SendShot.class, actions).stream().map(SendShot::endpoint).toList();
+            assertEquals(grade == DispatcherFixture.UNREPEATABLE ? 1 : 0, actionsOfType(Terminate.class, actions).size());
+            assertEquals(grade == DispatcherFixture.UNREPEATABLE, again.isEmpty());
+            assertTrue(grade != DispatcherFixture.DEDUPLICATED || again.get(0) == 11L, "not in its group");
+            assertEquals(List.of(), actionsOfType(Action.CloseIdleConnections.class, actions));
         }
     }
 
     @Test
     void aRecordWithdrawnWhileAShotIsOutGetsNothingMore() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT)));
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 100_000, List.of(new Event.RecordWithdrawn(1))));
-        assertEquals(List.of(new Recall(1, 0)), only(Recall.class, actions));
-        actions.addAll(dispatcher.turn(START + 200_000, List.of(ended(1, 0, 11, Ending.RESET, 0))));
-        actions.addAll(wakeUntil(dispatcher, START + 210_000, START + 3_000_000));
-        assertEquals(0, only(Shoot.class, actions).size() + only(Bounce.class, actions).size()
-                + only(Terminate.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 100_000, List.of(new Event.RecordWithdrawn(1))));
+        assertEquals(List.of(new Recall(1, 0)), actionsOfType(Recall.class, actions));
+        actions.addAll(dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 0, 11, Ending.RESET, 0))));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 3_000_000));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size() + actionsOfType(Bounce.class, actions).size()
+                + actionsOfType(Terminate.class, actions).size());
     }
 
     @Test
-    void someLostAnswersCloseNoDestination() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, takenAll(6, Given.IDEMPOTENT));
+    void someLostResponsesDoNotMarkADestinationSuspect() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(6, DispatcherFixture.IDEMPOTENT));
         for (int id = 1; id <= 4; id++) {
-            dispatcher.turn(START + 100_000, List.of(ended(id, 0, 11, Ending.DONE, 0)));
+            dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(id, 0, 11, Ending.DONE, 0)));
         }
-        dispatcher.turn(START + 3_000_000, List.of(ended(5, 0, 12, Ending.TIMED_OUT, 0),
-                new Event.ProbeEnded(11, Ending.DONE, 1, Given.NO_REPORT), taken(9, Given.IDEMPOTENT)));
-        List<Action> actions = wakeUntil(dispatcher, START + 3_010_000, START + 3_100_000);
-        assertFalse(only(Shoot.class, actions).isEmpty() && only(Probe.class, actions).isEmpty());
-        assertEquals(0, only(Probe.class, actions).size());
+        dispatcher.handleEvents(START_MICROS + 3_000_000, List.of(shotEnded(5, 0, 12, Ending.TIMED_OUT, 0),
+                new Event.ProbeEnded(11, Ending.DONE, 1, DispatcherFixture.NO_LOAD_REPORT), recordAccepted(9, DispatcherFixture.IDEMPOTENT)));
+        List<Action> actions = expireTimersUntil(dispatcher, START_MICROS + 3_010_000, START_MICROS + 3_100_000);
+        assertFalse(actionsOfType(SendShot.class, actions).isEmpty() && actionsOfType(Probe.class, actions).isEmpty());
+        assertEquals(0, actionsOfType(Probe.class, actions).size());
     }
 
     @Test
     void connectionsInSteadyUseStayOpenWhenOthersFail() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
         List<Action> actions = new ArrayList<>();
         for (int id = 1; id <= 6; id++) {
-            Shoot shoot = only(Shoot.class, dispatcher.turn(START + id * 100_000, List.of(taken(id, 0)))).get(0);
-            actions.addAll(dispatcher.turn(START + id * 100_000 + 50_000, List.of(ended(id, 0, shoot.endpoint(),
+            SendShot shoot = actionsOfType(SendShot.class, dispatcher.handleEvents(START_MICROS + id * 100_000, List.of(recordAccepted(id, 0)))).get(0);
+            actions.addAll(dispatcher.handleEvents(START_MICROS + id * 100_000 + 50_000, List.of(shotEnded(id, 0, shoot.endpoint(),
                     id == 4 ? Ending.NOT_CONNECTED : Ending.DONE, 0))));
         }
-        assertFalse(actions.contains(new Action.DropConnections(11)));
+        assertFalse(actions.contains(new Action.CloseIdleConnections(11)));
     }
 
     @Test
     void aCrowdedEndpointIsTriedAgainSoonHoweverManyNodesThereAre() {
-        Dispatcher dispatcher = dispatcher(Given.terms(false, true, 100, 100, 0, 8, List.of()), 0);
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START, takenAll(2, Given.IDEMPOTENT)));
-        long first = only(Shoot.class, actions).get(0).endpoint();
-        actions = dispatcher.turn(START + 100_000, List.of(ended(1, 0, first, Ending.CROWDED, 0)));
-        assertTrue(actions.contains(new Action.DropConnections(first)));
-        dispatcher.turn(START + 120_000, List.of(ended(2, 0, first == 11 ? 12 : 11, Ending.CROWDED, 0)));
-        actions = wakeUntil(dispatcher, START + 130_000, START + 900_000);
-        assertEquals(1, only(Shoot.class, actions).size()); // a refusal at 100 nodes rests for two seconds and more
+        Dispatcher dispatcher = dispatcher(DispatcherFixture.settings(false, true, 100, 100, 0, 8, List.of()), 0);
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IDEMPOTENT)));
+        long first = actionsOfType(SendShot.class, actions).get(0).endpoint();
+        actions = dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, first, Ending.CROWDED, 0)));
+        assertTrue(actions.contains(new Action.CloseIdleConnections(first)));
+        dispatcher.handleEvents(START_MICROS + 120_000, List.of(shotEnded(2, 0, first == 11 ? 12 : 11, Ending.CROWDED, 0)));
+        actions = expireTimersUntil(dispatcher, START_MICROS + 130_000, START_MICROS + 900_000);
+        assertEquals(1, actionsOfType(SendShot.class, actions).size()); // a refusal at 100 nodes rests for two seconds and more
     }
 
     @Test
-    void aHeldConnectionServesWhatWaitsBeforeItGoes() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 0, Standing.GONE)), false)));
-        dispatcher.turn(START, takenAll(2, Given.IDEMPOTENT));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.CROWDED, 0)));
-        List<Action> actions = dispatcher.turn(START + 150_000, List.of(ended(2, 0, 11, Ending.DONE, 0)));
-        assertEquals(1, only(Shoot.class, actions).size());
-        assertTrue(actions.indexOf(only(Shoot.class, actions).get(0)) < actions.indexOf(new Action.DropConnections(11)));
-        actions = dispatcher.turn(START + 250_000, List.of(ended(1, 1, 11, Ending.DONE, 0)));
-        assertTrue(actions.contains(new Action.DropConnections(11)));
+    void aKeptConnectionServesWaitingRecordsBeforeItIsClosed() {
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 0, EndpointState.GONE)), false)));
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IDEMPOTENT));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.CROWDED, 0)));
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 150_000, List.of(shotEnded(2, 0, 11, Ending.DONE, 0)));
+        assertEquals(1, actionsOfType(SendShot.class, actions).size());
+        assertTrue(actions.indexOf(actionsOfType(SendShot.class, actions).get(0)) < actions.indexOf(new Action.CloseIdleConnections(11)));
+        actions = dispatcher.handleEvents(START_MICROS + 250_000, List.of(shotEnded(1, 1, 11, Ending.DONE, 0)));
+        assertTrue(actions.contains(new Action.CloseIdleConnections(11)));
     }
 
     @Test
     void oneCrowdedEndpointOfManyClosesConnectionsThereAlone() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(
-                new ListedEndpoint(13, 0, 0, 0, Standing.READY, 0, 2)), false)));
-        dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT), taken(2, Given.IDEMPOTENT),
-                taken(3, Given.IDEMPOTENT, 0, 2)));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.DONE, 0), ended(3, 0, 13, Ending.DONE, 0)));
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 200_000,
-                List.of(ended(2, 0, 12, Ending.CROWDED, 0))));
-        actions.addAll(wakeUntil(dispatcher, START + 210_000, START + 1_500_000));
-        assertEquals(List.of(new Action.DropConnections(12)), only(Action.DropConnections.class, actions));
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(
+                new ListedEndpoint(13, 0, 0, 0, EndpointState.READY, 0, 2)), false)));
+        dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT), recordAccepted(2, DispatcherFixture.IDEMPOTENT),
+                recordAccepted(3, DispatcherFixture.IDEMPOTENT, 0, 2)));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.DONE, 0), shotEnded(3, 0, 13, Ending.DONE, 0)));
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 200_000,
+                List.of(shotEnded(2, 0, 12, Ending.CROWDED, 0))));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 1_500_000));
+        assertEquals(List.of(new Action.CloseIdleConnections(12)), actionsOfType(Action.CloseIdleConnections.class, actions));
     }
 
     @Test
     void aFirstCrowdedCallClosesWhatIsRarelyUsedEverywhere() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, takenAll(2, Given.IDEMPOTENT));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.DONE, 0)));
-        dispatcher.turn(START + 200_000, List.of(ended(2, 0, 12, Ending.CROWDED, 0)));
-        assertTrue(wakeUntil(dispatcher, START + 210_000, START + 800_000).contains(new Action.DropConnections(11)));
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IDEMPOTENT));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.DONE, 0)));
+        dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(2, 0, 12, Ending.CROWDED, 0)));
+        assertTrue(expireTimersUntil(dispatcher, START_MICROS + 210_000, START_MICROS + 800_000).contains(new Action.CloseIdleConnections(11)));
     }
 
     @Test
     void anEndpointBackFromBeingGoneKeepsItsWaitAndOneLongGoneStartsAnew() {
         for (long away : List.of(20_000_000L, 70_000_000L)) {
-            Dispatcher dispatcher = dispatcher(terms(true, false, 100), 1);
-            dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 1, Standing.GONE)), false)));
-            dispatcher.turn(START, List.of(taken(1, Given.IDEMPOTENT)));
-            dispatcher.turn(START + 1000, List.of(ended(1, 0, 11, Ending.FULL, 30_000_000)));
-            dispatcher.turn(START + 2000, List.of(new Event.ListTold(List.of(listed(11, 0, 1, Standing.GONE)), false)));
-            long back = START + away;
-            for (long now = START + 2_000_000; now < back; now += 2_000_000) { // there is always something to do
-                dispatcher.turn(now, List.of(taken(now, Given.IDEMPOTENT), new Event.Woken(0)));
+            Dispatcher dispatcher = dispatcher(settings(true, false, 100), 1);
+            dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 1, EndpointState.GONE)), false)));
+            dispatcher.handleEvents(START_MICROS, List.of(recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
+            dispatcher.handleEvents(START_MICROS + 1000, List.of(shotEnded(1, 0, 11, Ending.FULL, 30_000_000)));
+            dispatcher.handleEvents(START_MICROS + 2000, List.of(new Event.ListReceived(List.of(listedEndpoint(11, 0, 1, EndpointState.GONE)), false)));
+            long back = START_MICROS + away;
+            for (long now = START_MICROS + 2_000_000; now < back; now += 2_000_000) { // there is always something to do
+                dispatcher.handleEvents(now, List.of(recordAccepted(now, DispatcherFixture.IDEMPOTENT), new Event.TimerExpired(0)));
             }
-            List<Action> actions = dispatcher.turn(back,
-                    List.of(new Event.ListTold(List.of(listed(11, 0, 1, Standing.READY)), false)));
-            actions.addAll(wakeUntil(dispatcher, back + 10_000, back + 500_000));
-            assertEquals(away < 30_000_000, only(Shoot.class, actions).isEmpty(), "away for " + away);
+            List<Action> actions = dispatcher.handleEvents(back,
+                    List.of(new Event.ListReceived(List.of(listedEndpoint(11, 0, 1, EndpointState.READY)), false)));
+            actions.addAll(expireTimersUntil(dispatcher, back + 10_000, back + 500_000));
+            assertEquals(away < 30_000_000, actionsOfType(SendShot.class, actions).isEmpty(), "away for " + away);
         }
     }
 
     /** Guards against a fleet that asks again at once after each failure: discovery then answers nobody in time. */
     @Test
     void aListThatMustBeAskedForIsAskedForOnceAndAgainAfterAGrowingWhile() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100, 2, 0, 8, List.of(), true, 0), 0);
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100, 2, 0, 8, List.of(), true, 0), 0);
         List<Long> rests = new ArrayList<>();
-        long now = START;
+        long now = START_MICROS;
         for (int failed = 0; failed < 4; failed++) {
-            assertEquals(0, only(Action.FollowList.class, dispatcher.turn(now += 10_000, List.of())).size());
+            assertEquals(0, actionsOfType(Action.SetListSubscription.class, dispatcher.handleEvents(now += 10_000, List.of())).size());
             long from = now;
-            List<Action> actions = dispatcher.turn(now, List.of(new Event.ListFailed()));
-            while (only(Action.FollowList.class, actions).isEmpty() && now < from + 5_000_000) {
-                actions = dispatcher.turn(now += 10_000, List.of(new Event.Woken(0)));
+            List<Action> actions = dispatcher.handleEvents(now, List.of(new Event.ListRequestFailed()));
+            while (actionsOfType(Action.SetListSubscription.class, actions).isEmpty() && now < from + 5_000_000) {
+                actions = dispatcher.handleEvents(now += 10_000, List.of(new Event.TimerExpired(0)));
             }
             rests.add(now - from);
         }
@@ -451,18 +451,18 @@
 
     @Test
     void aListThatIsPushedIsNotAskedFor() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START, List.of(new Event.ListFailed())));
-        actions.addAll(wakeUntil(dispatcher, START + 10_000, START + 5_000_000));
-        assertEquals(0, only(Action.FollowList.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS, List.of(new Event.ListRequestFailed())));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 5_000_000));
+        assertEquals(0, actionsOfType(Action.SetListSubscription.class, actions).size());
     }
 
     @Test
     void ofRoutesAlikeTheOneInTheNodesOwnHallIsCalled() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100, 2, 0, 8, List.of(), false, 0.03), 0);
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100, 2, 0, 8, List.of(), false, 0.03), 0);
         for (int id = 1; id <= 6; id++) {
-            Shoot shoot = only(Shoot.class, dispatcher.turn(START + id * 1_000_000, List.of(taken(id, 0)))).get(0);
-            dispatcher.turn(START + id * 1_000_000 + 200_000, List.of(ended(id, 0, shoot.endpoint(), Ending.DONE, 0)));
+            SendShot shoot = actionsOfType(SendShot.class, dispatcher.handleEvents(START_MICROS + id * 1_000_000, List.of(recordAccepted(id, 0)))).get(0);
+            dispatcher.handleEvents(START_MICROS + id * 1_000_000 + 200_000, List.of(shotEnded(id, 0, shoot.endpoint(), Ending.DONE, 0)));
             assertTrue(id < 3 || shoot.endpoint() == 11L, "shot " + id + " crossed");
         }
     }
@@ -470,56 +470,56 @@
     /** Guards against idle connections of a whole fleet that fill endpoints which hold few, and against taking one for down. */
     @Test
     void aProbeAfterAFailedConnectTellsAFullEndpointAndRareConnectionsOfItsKindClose() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, takenAll(2, Given.IDEMPOTENT));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.DONE, 0)));
-        List<Action> asked = dispatcher.turn(START + 1_000_000, List.of(ended(2, 0, 12, Ending.NOT_CONNECTED, 0)));
-        assertEquals(List.of(new Probe(12)), only(Probe.class, asked));
-        List<Action> told = dispatcher.turn(START + 1_050_000, List.of(new Event.ProbeEnded(12, Ending.DONE, 1, Given.NO_REPORT)));
-        assertTrue(told.contains(new Action.DropConnections(11)), told.toString());
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IDEMPOTENT));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.DONE, 0)));
+        List<Action> asked = dispatcher.handleEvents(START_MICROS + 1_000_000, List.of(shotEnded(2, 0, 12, Ending.NOT_CONNECTED, 0)));
+        assertEquals(List.of(new Probe(12)), actionsOfType(Probe.class, asked));
+        List<Action> told = dispatcher.handleEvents(START_MICROS + 1_050_000, List.of(new Event.ProbeEnded(12, Ending.DONE, 1, DispatcherFixture.NO_LOAD_REPORT)));
+        assertTrue(told.contains(new Action.CloseIdleConnections(11)), told.toString());
     }
 
     @Test
     void anEndpointThatIsDownClosesNoConnections() {
-        Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-        dispatcher.turn(START, takenAll(2, Given.IDEMPOTENT));
-        dispatcher.turn(START + 100_000, List.of(ended(1, 0, 11, Ending.DONE, 0)));
-        List<Action> actions = new ArrayList<>(dispatcher.turn(START + 1_000_000,
-                List.of(ended(2, 0, 12, Ending.NOT_CONNECTED, 0))));
-        actions.addAll(dispatcher.turn(START + 1_050_000,
-                List.of(new Event.ProbeEnded(12, Ending.NOT_CONNECTED, 1, Given.NO_REPORT))));
-        assertEquals(0, only(Action.DropConnections.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, recordsAccepted(2, DispatcherFixture.IDEMPOTENT));
+        dispatcher.handleEvents(START_MICROS + 100_000, List.of(shotEnded(1, 0, 11, Ending.DONE, 0)));
+        List<Action> actions = new ArrayList<>(dispatcher.handleEvents(START_MICROS + 1_000_000,
+                List.of(shotEnded(2, 0, 12, Ending.NOT_CONNECTED, 0))));
+        actions.addAll(dispatcher.handleEvents(START_MICROS + 1_050_000,
+                List.of(new Event.ProbeEnded(12, Ending.NOT_CONNECTED, 1, DispatcherFixture.NO_LOAD_REPORT))));
+        assertEquals(0, actionsOfType(Action.CloseIdleConnections.class, actions).size());
     }
 
     /** Guards against connections that are dropped unseen: calls on kept ones end without an answer, on new ones well. */
     @Test
     void connectionsCloseWhereCallsOnKeptOnesAreLost() {
-        Dispatcher dispatcher = dispatcher(terms(false, false, 100), 0);
-        dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 0, Standing.GONE)), false)));
+        Dispatcher dispatcher = dispatcher(settings(false, false, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 0, EndpointState.GONE)), false)));
         List<Action> actions = new ArrayList<>();
         for (int id = 1; id <= 4; id++) {
-            long now = START + id * 8_000_000;
-            assertEquals(List.of(), only(Action.DropConnections.class, actions), "before record " + id);
-            assertEquals(1, only(Shoot.class, dispatcher.turn(now, List.of(taken(id, 0)))).size());
-            actions.addAll(dispatcher.turn(now + 200_000, List.of(ended(id, 0, 11, id % 2 == 0 ? Ending.RESET
+            long now = START_MICROS + id * 8_000_000;
+            assertEquals(List.of(), actionsOfType(Action.CloseIdleConnections.class, actions), "before record " + id);
+            assertEquals(1, actionsOfType(SendShot.class, dispatcher.handleEvents(now, List.of(recordAccepted(id, 0)))).size());
+            actions.addAll(dispatcher.handleEvents(now + 200_000, List.of(shotEnded(id, 0, 11, id % 2 == 0 ? Ending.RESET
                     : Ending.DONE, 0), new Event.RecordWithdrawn(id))));
         }
-        assertFalse(only(Action.DropConnections.class, actions).isEmpty());
+        assertFalse(actionsOfType(Action.CloseIdleConnections.class, actions).isEmpty());
     }
 
     /** Guards against a limit that falls for a moment: a busy node is refused three times within a quarter of a second. */
     @Test
     void refusalsAreAnOutageOnlyWhereTheyGoOn() {
         for (long apart : new long[] {80_000, 800_000}) {
-            Dispatcher dispatcher = dispatcher(terms(false, true, 100), 0);
-            dispatcher.turn(START, List.of(new Event.ListTold(List.of(listed(12, 1, 0, Standing.GONE),
-                    new ListedEndpoint(11, 0, 0, 100, Standing.READY, 0, 1)), false), taken(1, Given.IDEMPOTENT)));
+            Dispatcher dispatcher = dispatcher(settings(false, true, 100), 0);
+            dispatcher.handleEvents(START_MICROS, List.of(new Event.ListReceived(List.of(listedEndpoint(12, 1, 0, EndpointState.GONE),
+                    new ListedEndpoint(11, 0, 0, 100, EndpointState.READY, 0, 1)), false), recordAccepted(1, DispatcherFixture.IDEMPOTENT)));
             List<Action> actions = new ArrayList<>();
-            long now = START;
+            long now = START_MICROS;
             for (int shot = 0; shot < 3; shot++) {
-                actions.addAll(dispatcher.turn(now += apart, List.of(ended(1, shot, 11, Ending.FULL, 0))));
-                for (long end = now + 3_000_000; only(Shoot.class, actions).size() <= shot && now < end;) {
-                    actions.addAll(dispatcher.turn(now += 10_000, List.of(new Event.Woken(0))));
+                actions.addAll(dispatcher.handleEvents(now += apart, List.of(shotEnded(1, shot, 11, Ending.FULL, 0))));
+                for (long end = now + 3_000_000; actionsOfType(SendShot.class, actions).size() <= shot && now < end;) {
+                    actions.addAll(dispatcher.handleEvents(now += 10_000, List.of(new Event.TimerExpired(0))));
                 }
             }
             assertEquals(apart == 800_000, actions.stream().anyMatch(Action.Log.class::isInstance));
@@ -529,13 +529,13 @@
     /** Its connection may come up so late that a copy has run meanwhile, and its own window is over. */
     @Test
     void aFirstShotOfADeduplicatedRecordLeavesWithinItsWindowOrNotAtAll() {
-        Dispatcher dispatcher = Given.dispatcher(Given.terms(true, true, 40), 0);
-        List<Action> actions = dispatcher.turn(Given.START + 1_000, List.of(Given.taken(1, Given.DEDUPLICATED),
-                Given.taken(2, Given.UNREPEATABLE), Given.taken(3, Given.IDEMPOTENT)));
-        List<Action.Shoot> shots = Given.only(Action.Shoot.class, actions);
+        Dispatcher dispatcher = DispatcherFixture.dispatcher(DispatcherFixture.settings(true, true, 40), 0);
+        List<Action> actions = dispatcher.handleEvents(DispatcherFixture.START_MICROS + 1_000, List.of(DispatcherFixture.recordAccepted(1, DispatcherFixture.DEDUPLICATED),
+                DispatcherFixture.recordAccepted(2, DispatcherFixture.UNREPEATABLE), DispatcherFixture.recordAccepted(3, DispatcherFixture.IDEMPOTENT)));
+        List<Action.SendShot> shots = DispatcherFixture.actionsOfType(Action.SendShot.class, actions);
         assertTrue(shots.stream().anyMatch(shot -> shot.id() == 1));
-        for (Action.Shoot shot : shots) {
-            assertEquals(shot.id() == 1 ? Given.START + 1_000 + 4_000_000 - 10_000 : Long.MAX_VALUE, shot.startBy());
+        for (Action.SendShot shot : shots) {
+            assertEquals(shot.id() == 1 ? DispatcherFixture.START_MICROS + 1_000 + 4_000_000 - 10_000 : Long.MAX_VALUE, shot.startBy());
         }
     }
 }
--- a/src/test/java/terndyke/decision/FleetTest.java
+++ b/src/test/java/terndyke/decision/FleetTest.java
@@ -18,215 +18,215 @@
 import terndyke.api.Ending;
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 
 /** What a fleet does together at one endpoint: several dispatchers, each with records of its own, and no I/O. */
 class FleetTest {
-    private static final long STEP = 5_000;
-    private static final long SECOND = 1_000_000;
-    private static final double COLD_SHARE = 0.2; // these as in Given's terms
-    private static final long WARM_AFTER = 10 * SECOND;
-    private static final long KEPT_FOR = 10 * SECOND; // a record's time
+    private static final long STEP_MICROS = 5_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final double COLD_CAPACITY_SHARE = 0.2; // these as in Given's terms
+    private static final long WARM_UP_MICROS = 10 * SECOND_MICROS;
+    private static final long RECORD_LIFETIME_MICROS = 10 * SECOND_MICROS; // a record's time
 
     /**
      * An endpoint and the nodes that share it. It takes so many calls a second of all of them, half a second's worth at once at
      * most; a refused call uses the limit up as well, and every second one tells a wait of half a second. A call takes 150 ms,
      * one on a new connection twice as long.
      */
-    private static final class World {
-        final int nodes;
-        final double asked;
-        LongToDoubleFunction limit = at -> 1e6;
+    private static final class SimulatedFleet {
+        final int nodeCount;
+        final double recordsPerSecond;
+        LongToDoubleFunction callsPerSecondLimit = at -> 1e6;
         long downFrom = Long.MAX_VALUE;
         long downUntil = Long.MAX_VALUE;
-        int places = Integer.MAX_VALUE; // connections that the endpoint holds
+        int connectionLimit = Integer.MAX_VALUE; // connections that the endpoint holds
         long killAt = Long.MAX_VALUE; // then the first so many nodes die and are back a second later
-        int killed;
-        final int[] done = new int[200];
-        final int[] refused = new int[200];
-        final int[] crowded = new int[200];
-        final int[] unreached = new int[200];
-        final int[] arrived = new int[20_000]; // calls and probes that reached the endpoint, by step
-        final int[] knowing = new int[20_000]; // those of nodes that had met the outage
-        private final boolean[] met;
-        int worth; // done within a second
-        int lost;
+        int killedNodeCount;
+        final int[] donePerSecond = new int[200];
+        final int[] refusedPerSecond = new int[200];
+        final int[] crowdedPerSecond = new int[200];
+        final int[] unreachedPerSecond = new int[200];
+        final int[] arrivalsPerStep = new int[20_000]; // calls and probes that reached the endpoint, by step
+        final int[] awareArrivalsPerStep = new int[20_000]; // those of nodes that had met the outage
+        private final boolean[] sawOutage;
+        int doneWithinOneSecond; // done within a second
+        int lostRecords;
         private final Random random;
-        private final boolean probes;
-        private final int draw; // 0: all nodes draw the same chances; else each its own, and the records come by it too
-        private final PriorityQueue<Coming> coming = new PriorityQueue<>(
+        private final boolean probesAllowed;
+        private final int seedVariant; // 0: all nodes draw the same chances; else each its own, and the records come by it too
+        private final PriorityQueue<ScheduledEvent> scheduledEvents = new PriorityQueue<>(
                 (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
-        private final List<Dispatcher> fleet = new ArrayList<>();
-        private final Map<Long, Handed> open = new HashMap<>();
-        private final int[] idle;
-        private final int[] busy;
-        private double left;
+        private final List<Dispatcher> dispatchers = new ArrayList<>();
+        private final Map<Long, OpenRecord> openRecords = new HashMap<>();
+        private final int[] idleConnections;
+        private final int[] busyConnections;
+        private double availableTokens;
         private long sequence;
-        private int refusals;
+        private int refusalCount;
 
-        private record Coming(long at, long sequence, int node, int life, Event event, boolean connection) { }
+        private record ScheduledEvent(long at, long sequence, int node, int incarnation, Event event, boolean usesConnection) { }
 
-        private static final class Handed {
+        private static final class OpenRecord {
             final int node;
-            final long at;
-            int shots;
-            int out;
+            final long acceptedAt;
+            int shotCount;
+            int inFlightShotCount;
 
-            Handed(int node, long at) {
+            OpenRecord(int node, long at) {
                 this.node = node;
-                this.at = at;
+                this.acceptedAt = at;
             }
         }
 
-        World(int nodes, double asked) {
+        SimulatedFleet(int nodes, double asked) {
             this(nodes, asked, 0, true);
         }
 
-        World(int nodes, double asked, int draw, boolean probes) {
-            this.draw = draw;
-            this.probes = probes;
+        SimulatedFleet(int nodes, double asked, int draw, boolean probes) {
+            this.seedVariant = draw;
+            this.probesAllowed = probes;
             this.random = new Random(7 + draw);
-            this.nodes = nodes;
-            this.asked = asked;
-            idle = new int[nodes];
-            busy = new int[nodes];
-            met = new boolean[nodes];
+            this.nodeCount = nodes;
+            this.recordsPerSecond = asked;
+            idleConnections = new int[nodes];
+            busyConnections = new int[nodes];
+            sawOutage = new boolean[nodes];
             for (int number = 0; number < nodes; number++) {
-                fleet.add(born(number, 0));
+                dispatchers.add(createDispatcher(number, 0));
             }
         }
 
-        private Dispatcher born(int number, long at) {
-            Dispatcher dispatcher = new Dispatcher(Given.terms(draw == 0 ? 1 : 1_000 * draw + number, false, probes, 200, nodes,
+        private Dispatcher createDispatcher(int number, long at) {
+            Dispatcher dispatcher = new Dispatcher(DispatcherFixture.settings(seedVariant == 0 ? 1 : 1_000 * seedVariant + number, false, probesAllowed, 200, nodeCount,
                     number, 10, List.of(), false, 0));
-            dispatcher.turn(Given.START + at, List.of(new Event.ListTold(
-                    List.of(new ListedEndpoint(11, 0, 0, 0, Standing.READY, 0, 1)), true)));
+            dispatcher.handleEvents(DispatcherFixture.START_MICROS + at, List.of(new Event.ListReceived(
+                    List.of(new ListedEndpoint(11, 0, 0, 0, EndpointState.READY, 0, 1)), true)));
             return dispatcher;
         }
 
         /** What the endpoint can do at that time, in calls a second. */
         double capacity(long at) {
-            double warm = at < downUntil ? 1 : Math.min(1, (double) (at - downUntil) / WARM_AFTER);
-            return limit.applyAsDouble(at) * (COLD_SHARE + (1 - COLD_SHARE) * warm);
+            double warm = at < downUntil ? 1 : Math.min(1, (double) (at - downUntil) / WARM_UP_MICROS);
+            return callsPerSecondLimit.applyAsDouble(at) * (COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * warm);
         }
 
-        World play(int seconds) {
-            int[] life = new int[nodes];
-            for (long at = 0; at < seconds * SECOND; at += STEP) {
+        SimulatedFleet run(int seconds) {
+            int[] life = new int[nodeCount];
+            for (long at = 0; at < seconds * SECOND_MICROS; at += STEP_MICROS) {
                 double most = capacity(at);
-                left = Math.min(most / 2, left + most * STEP / SECOND);
-                for (int number = 0; number < nodes; number++) {
-                    List<Event> events = new ArrayList<>(List.of(new Event.Woken(0)));
-                    boolean struck = number < killed;
+                availableTokens = Math.min(most / 2, availableTokens + most * STEP_MICROS / SECOND_MICROS);
+                for (int number = 0; number < nodeCount; number++) {
+                    List<Event> events = new ArrayList<>(List.of(new Event.TimerExpired(0)));
+                    boolean struck = number < killedNodeCount;
                     if (struck && at == killAt) {
                         life[number]++;
-                        idle[number] = 0;
-                        busy[number] = 0;
-                    } else if (struck && at == killAt + SECOND) {
-                        fleet.set(number, born(number, at));
-                        events.addAll(owed(number, at));
+                        idleConnections[number] = 0;
+                        busyConnections[number] = 0;
+                    } else if (struck && at == killAt + SECOND_MICROS) {
+                        dispatchers.set(number, createDispatcher(number, at));
+                        events.addAll(restoredRecords(number, at));
                     }
-                    if (struck && at >= killAt && at < killAt + SECOND) {
+                    if (struck && at >= killAt && at < killAt + SECOND_MICROS) {
                         continue;
                     }
-                    if (random.nextDouble() < asked / nodes * STEP / SECOND) {
-                        open.put(++sequence, new Handed(number, at));
-                        events.add(Given.taken(sequence, Given.IDEMPOTENT));
+                    if (random.nextDouble() < recordsPerSecond / nodeCount * STEP_MICROS / SECOND_MICROS) {
+                        openRecords.put(++sequence, new OpenRecord(number, at));
+                        events.add(DispatcherFixture.recordAccepted(sequence, DispatcherFixture.IDEMPOTENT));
                     }
-                    hear(number, life[number], at, events);
-                    for (Action action : fleet.get(number).turn(Given.START + at, events)) {
-                        act(number, life[number], at, action);
+                    collectEvents(number, life[number], at, events);
+                    for (Action action : dispatchers.get(number).handleEvents(DispatcherFixture.START_MICROS + at, events)) {
+                        perform(number, life[number], at, action);
                     }
                 }
             }
-            lost += (int) open.values().stream().filter(record -> record.at < (seconds - 11) * SECOND).count();
+            lostRecords += (int) openRecords.values().stream().filter(record -> record.acceptedAt < (seconds - 11) * SECOND_MICROS).count();
             return this;
         }
 
-        private List<Event> owed(int number, long at) {
+        private List<Event> restoredRecords(int number, long at) {
             List<Event> events = new ArrayList<>();
-            open.entrySet().stream().filter(entry -> entry.getValue().node == number).sorted(Map.Entry.comparingByKey())
+            openRecords.entrySet().stream().filter(entry -> entry.getValue().node == number).sorted(Map.Entry.comparingByKey())
                     .forEach(entry -> {
-                        Handed record = entry.getValue();
+                        OpenRecord record = entry.getValue();
                         List<Event.EarlierShot> shots = new ArrayList<>();
-                        for (int shot = 0; shot < record.shots; shot++) {
-                            shots.add(new Event.EarlierShot(11, 0, at - killAt, shot < record.shots - record.out ? Ending.FULL : null));
+                        for (int shot = 0; shot < record.shotCount; shot++) {
+                            shots.add(new Event.EarlierShot(11, 0, at - killAt, shot < record.shotCount - record.inFlightShotCount ? Ending.FULL : null));
                         }
-                        record.out = 0;
-                        events.add(new Event.RecordOwed(new Event.RecordTaken(entry.getKey(), Given.IDEMPOTENT, 0, 7,
-                                record.at + KEPT_FOR - at, 0, 1, false, false, false), shots, false));
+                        record.inFlightShotCount = 0;
+                        events.add(new Event.RecordRestored(new Event.RecordAccepted(entry.getKey(), DispatcherFixture.IDEMPOTENT, 0, 7,
+                                record.acceptedAt + RECORD_LIFETIME_MICROS - at, 0, 1, false, false, false), shots, false));
                     });
             return events;
         }
 
-        private void hear(int number, int life, long at, List<Event> events) {
-            List<Coming> others = new ArrayList<>();
-            while (!coming.isEmpty() && coming.peek().at <= at) {
-                Coming one = coming.poll();
+        private void collectEvents(int number, int life, long at, List<Event> events) {
+            List<ScheduledEvent> others = new ArrayList<>();
+            while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at <= at) {
+                ScheduledEvent one = scheduledEvents.poll();
                 if (one.node != number) {
                     others.add(one);
-                } else if (one.life == life) {
+                } else if (one.incarnation == life) {
                     events.add(one.event);
-                    if (one.connection) {
-                        busy[number]--;
-                        idle[number]++;
+                    if (one.usesConnection) {
+                        busyConnections[number]--;
+                        idleConnections[number]++;
                     }
-                    if (one.event instanceof Event.ShotEnded ended && open.containsKey(ended.id())) {
-                        open.get(ended.id()).out--;
-                        if (ended.recordOver()) {
-                            worth += at - open.remove(ended.id()).at <= SECOND ? 1 : 0;
+                    if (one.event instanceof Event.ShotEnded ended && openRecords.containsKey(ended.id())) {
+                        openRecords.get(ended.id()).inFlightShotCount--;
+                        if (ended.recordEnded()) {
+                            doneWithinOneSecond += at - openRecords.remove(ended.id()).acceptedAt <= SECOND_MICROS ? 1 : 0;
                         }
                     }
                 }
             }
-            coming.addAll(others);
+            scheduledEvents.addAll(others);
         }
 
-        private void act(int number, int life, long at, Action action) {
+        private void perform(int number, int life, long at, Action action) {
             boolean down = at >= downFrom && at < downUntil;
-            if (action instanceof Action.Shoot shoot) {
-                boolean kept = idle[number] > 0;
+            if (action instanceof Action.SendShot shoot) {
+                boolean kept = idleConnections[number] > 0;
                 int held = 0;
-                for (int node = 0; node < nodes; node++) {
-                    held += idle[node] + busy[node];
+                for (int node = 0; node < nodeCount; node++) {
+                    held += idleConnections[node] + busyConnections[node];
                 }
-                boolean room = kept || held < places;
-                boolean takes = room && !down && left >= 1;
-                met[number] |= down;
+                boolean room = kept || held < connectionLimit;
+                boolean takes = room && !down && availableTokens >= 1;
+                sawOutage[number] |= down;
                 if (!down) {
-                    arrived[(int) (at / STEP)]++;
-                    knowing[(int) (at / STEP)] += met[number] ? 1 : 0;
-                    left = room ? Math.max(0, left - 1) : left;
+                    arrivalsPerStep[(int) (at / STEP_MICROS)]++;
+                    awareArrivalsPerStep[(int) (at / STEP_MICROS)] += sawOutage[number] ? 1 : 0;
+                    availableTokens = room ? Math.max(0, availableTokens - 1) : availableTokens;
                 }
-                (down ? unreached : !room ? crowded : takes ? done : refused)[(int) (at / SECOND)]++;
+                (down ? unreachedPerSecond : !room ? crowdedPerSecond : takes ? donePerSecond : refusedPerSecond)[(int) (at / SECOND_MICROS)]++;
                 Ending ending = down ? Ending.NOT_CONNECTED : !room ? Ending.CROWDED : takes ? Ending.DONE : Ending.FULL;
-                long wait = ending == Ending.FULL && ++refusals % 2 == 0 ? SECOND / 2 : 0;
+                long wait = ending == Ending.FULL && ++refusalCount % 2 == 0 ? SECOND_MICROS / 2 : 0;
                 long took = down ? 20_000 : !room ? 110_000 : kept ? 150_000 : 300_000;
-                idle[number] -= kept ? 1 : 0;
-                busy[number] += room && !down ? 1 : 0;
-                Handed record = open.get(shoot.id());
-                record.out++;
-                coming.add(new Coming(at + took, ++sequence, number, life, new Event.ShotEnded(shoot.id(), record.shots++,
-                        shoot.endpoint(), ending, took, wait, false, takes, Given.NO_REPORT), room && !down));
+                idleConnections[number] -= kept ? 1 : 0;
+                busyConnections[number] += room && !down ? 1 : 0;
+                OpenRecord record = openRecords.get(shoot.id());
+                record.inFlightShotCount++;
+                scheduledEvents.add(new ScheduledEvent(at + took, ++sequence, number, life, new Event.ShotEnded(shoot.id(), record.shotCount++,
+                        shoot.endpoint(), ending, took, wait, false, takes, DispatcherFixture.NO_LOAD_REPORT), room && !down));
             } else if (action instanceof Action.Probe probe) {
-                met[number] |= down;
-                arrived[(int) (at / STEP)] += down ? 0 : 1;
-                knowing[(int) (at / STEP)] += !down && met[number] ? 1 : 0;
-                left = Math.max(0, left - (down ? 0 : 1));
-                coming.add(new Coming(at + 100_000, ++sequence, number, life, new Event.ProbeEnded(probe.endpoint(),
-                        down ? Ending.NOT_CONNECTED : Ending.DONE, 100_000, Given.NO_REPORT), false));
-            } else if (action instanceof Action.DropConnections) {
-                idle[number] = 0;
+                sawOutage[number] |= down;
+                arrivalsPerStep[(int) (at / STEP_MICROS)] += down ? 0 : 1;
+                awareArrivalsPerStep[(int) (at / STEP_MICROS)] += !down && sawOutage[number] ? 1 : 0;
+                availableTokens = Math.max(0, availableTokens - (down ? 0 : 1));
+                scheduledEvents.add(new ScheduledEvent(at + 100_000, ++sequence, number, life, new Event.ProbeEnded(probe.endpoint(),
+                        down ? Ending.NOT_CONNECTED : Ending.DONE, 100_000, DispatcherFixture.NO_LOAD_REPORT), false));
+            } else if (action instanceof Action.CloseIdleConnections) {
+                idleConnections[number] = 0;
             } else if (action instanceof Action.Bounce bounce) {
-                ended(bounce.id(), at);
+                recordEnded(bounce.id(), at);
             } else if (action instanceof Action.Terminate terminate) {
-                ended(terminate.id(), at);
+                recordEnded(terminate.id(), at);
             }
         }
 
-        private void ended(long id, long at) {
-            Handed record = open.remove(id);
-            lost += record == null || at > record.at + KEPT_FOR ? 1 : 0;
+        private void recordEnded(long id, long at) {
+            OpenRecord record = openRecords.remove(id);
+            lostRecords += record == null || at > record.acceptedAt + RECORD_LIFETIME_MICROS ? 1 : 0;
         }
 
         static int sum(int[] counts, int from, int to) {
@@ -240,57 +240,57 @@
 
     @Test
     void aLimitThatFallsAndRisesIsUsedWellByAllNodesTogether() {
-        World world = new World(14, 140);
-        world.limit = at -> at >= 5 * SECOND && at < 14 * SECOND ? 75 : 160;
-        world.play(30);
-        int fallen = World.sum(world.done, 6, 14);
-        int risen = World.sum(world.done, 18, 28);
-        int refused = World.sum(world.refused, 5, 30);
-        String seen = "fallen " + fallen + ", risen " + risen + ", refused " + refused + ", lost " + world.lost;
-        assertTrue(fallen > 0.85 * 8 * 75 && risen > 0.85 * 10 * 160 && refused < 200 && world.lost == 0, seen);
+        SimulatedFleet world = new SimulatedFleet(14, 140);
+        world.callsPerSecondLimit = at -> at >= 5 * SECOND_MICROS && at < 14 * SECOND_MICROS ? 75 : 160;
+        world.run(30);
+        int fallen = SimulatedFleet.sum(world.donePerSecond, 6, 14);
+        int risen = SimulatedFleet.sum(world.donePerSecond, 18, 28);
+        int refused = SimulatedFleet.sum(world.refusedPerSecond, 5, 30);
+        String seen = "fallen " + fallen + ", risen " + risen + ", refused " + refused + ", lost " + world.lostRecords;
+        assertTrue(fallen > 0.85 * 8 * 75 && risen > 0.85 * 10 * 160 && refused < 200 && world.lostRecords == 0, seen);
     }
 
     @Test
-    void aDestinationBackFromAnOutageIsNotPushedOverByAllTogether() {
-        World world = new World(14, 140);
-        world.limit = at -> 160;
-        world.downFrom = 5 * SECOND;
-        world.downUntil = 10 * SECOND;
-        world.play(35);
-        int span = (int) (2 * SECOND / STEP);
+    void aDestinationBackFromAnOutageIsNotOverloadedByAllNodesTogether() {
+        SimulatedFleet world = new SimulatedFleet(14, 140);
+        world.callsPerSecondLimit = at -> 160;
+        world.downFrom = 5 * SECOND_MICROS;
+        world.downUntil = 10 * SECOND_MICROS;
+        world.run(35);
+        int span = (int) (2 * SECOND_MICROS / STEP_MICROS);
         double most = 0;
-        for (int from = (int) (world.downUntil / STEP); from < 30 * SECOND / STEP; from++) {
+        for (int from = (int) (world.downUntil / STEP_MICROS); from < 30 * SECOND_MICROS / STEP_MICROS; from++) {
             double may = 0;
             for (int step = from; step < from + span; step++) {
-                may += 2 * world.capacity(step * STEP) * STEP / SECOND;
+                may += 2 * world.capacity(step * STEP_MICROS) * STEP_MICROS / SECOND_MICROS;
             }
-            most = Math.max(most, World.sum(world.arrived, from, from + span) / may);
+            most = Math.max(most, SimulatedFleet.sum(world.arrivalsPerStep, from, from + span) / may);
         }
-        int back = World.sum(world.done, 20, 30);
-        String seen = "at most " + most + " of what a span may bring, done " + back + ", lost " + world.lost;
-        assertTrue(most < 0.9 && back > 0.85 * 10 * 140 && world.lost == 0, seen);
+        int back = SimulatedFleet.sum(world.donePerSecond, 20, 30);
+        String seen = "at most " + most + " of what a span may bring, done " + back + ", lost " + world.lostRecords;
+        assertTrue(most < 0.9 && back > 0.85 * 10 * 140 && world.lostRecords == 0, seen);
     }
 
     /** A destination that takes so many calls a second, asked for four fifths of them and down from 6 to 13 s. */
-    private static World cold(int nodes, int rate, int draw, boolean probes) {
-        World world = new World(nodes, 0.8 * rate, draw, probes);
-        world.limit = at -> rate;
-        world.downFrom = 6 * SECOND;
-        world.downUntil = 13 * SECOND;
+    private static SimulatedFleet fleetWithOutage(int nodes, int rate, int draw, boolean probes) {
+        SimulatedFleet world = new SimulatedFleet(nodes, 0.8 * rate, draw, probes);
+        world.callsPerSecondLimit = at -> rate;
+        world.downFrom = 6 * SECOND_MICROS;
+        world.downUntil = 13 * SECOND_MICROS;
         return world;
     }
 
     /** What comes in a span beyond what the settings allow, less what is chance; of spans that mostly nodes in the know fill. */
-    private static double overChance(World world, int until) {
-        int span = (int) (2 * SECOND / STEP);
+    private static double worstExcessOverChance(SimulatedFleet world, int until) {
+        int span = (int) (2 * SECOND_MICROS / STEP_MICROS);
         double worst = Double.NEGATIVE_INFINITY;
-        for (int from = (int) (world.downUntil / STEP); from < until * SECOND / STEP - span; from++) {
+        for (int from = (int) (world.downUntil / STEP_MICROS); from < until * SECOND_MICROS / STEP_MICROS - span; from++) {
             double may = 0;
             for (int step = from; step < from + span; step++) {
-                may += 2 * world.capacity(step * STEP) * STEP / SECOND;
+                may += 2 * world.capacity(step * STEP_MICROS) * STEP_MICROS / SECOND_MICROS;
             }
-            int came = World.sum(world.arrived, from, from + span);
-            boolean knew = 3 * World.sum(world.knowing, from, from + span) > 2 * came;
+            int came = SimulatedFleet.sum(world.arrivalsPerStep, from, from + span);
+            boolean knew = 3 * SimulatedFleet.sum(world.awareArrivalsPerStep, from, from + span) > 2 * came;
             worst = knew ? Math.max(worst, came - (may + 2 * Math.sqrt(may) + 2)) : worst;
         }
         return worst;
@@ -303,12 +303,12 @@
         double worst = Double.NEGATIVE_INFINITY;
         for (int nodes : new int[] {6, 20, 30, 100}) {
             for (int rate : new int[] {4, 12, 40, 120}) {
-                World world = cold(nodes, rate, 0, true);
-                world.play(32);
-                double over = overChance(world, 30);
+                SimulatedFleet world = fleetWithOutage(nodes, rate, 0, true);
+                world.run(32);
+                double over = worstExcessOverChance(world, 30);
                 worst = Math.max(worst, over);
                 seen.append(String.format("%n%d nodes, %d a second: %.1f over, done %d of %d, lost %d", nodes, rate, over,
-                        World.sum(world.done, 22, 30), (int) (8 * 0.8 * rate), world.lost));
+                        SimulatedFleet.sum(world.donePerSecond, 22, 30), (int) (8 * 0.8 * rate), world.lostRecords));
             }
         }
         assertTrue(worst <= 0, seen.toString());
@@ -316,18 +316,18 @@
 
     /** As before, with most nodes killed in the outage: who comes back knows nothing of it. */
     @Test
-    void aColdDestinationIsSparedByNodesThatReturnFromARestartToo() {
+    void aColdDestinationIsNotOverloadedByNodesThatRestartedDuringTheOutage() {
         StringBuilder seen = new StringBuilder();
         double worst = Double.NEGATIVE_INFINITY;
         for (int nodes : new int[] {20, 30}) {
             for (int rate : new int[] {12, 40}) {
-                World world = cold(nodes, rate, 0, true);
-                world.killAt = 11 * SECOND;
-                world.killed = nodes * 7 / 10;
-                world.play(32);
-                double over = overChance(world, 30);
+                SimulatedFleet world = fleetWithOutage(nodes, rate, 0, true);
+                world.killAt = 11 * SECOND_MICROS;
+                world.killedNodeCount = nodes * 7 / 10;
+                world.run(32);
+                double over = worstExcessOverChance(world, 30);
                 worst = Math.max(worst, over);
-                seen.append(String.format("%n%d nodes, %d a second: %.1f over, lost %d", nodes, rate, over, world.lost));
+                seen.append(String.format("%n%d nodes, %d a second: %.1f over, lost %d", nodes, rate, over, world.lostRecords));
             }
         }
         assertTrue(worst <= 0, seen.toString());
@@ -342,14 +342,14 @@
         for (int nodes : new int[] {20, 30, 100}) {
             for (int rate : new int[] {4, 12, 40}) {
                 for (int draw = 1; draw <= 4; draw++) {
-                    World world = cold(nodes, rate, draw, probes);
-                    world.killAt = draw <= 2 ? 11 * SECOND : Long.MAX_VALUE;
-                    world.killed = draw <= 2 ? nodes * 7 / 10 : 0;
-                    world.play(32);
-                    double over = overChance(world, 30);
+                    SimulatedFleet world = fleetWithOutage(nodes, rate, draw, probes);
+                    world.killAt = draw <= 2 ? 11 * SECOND_MICROS : Long.MAX_VALUE;
+                    world.killedNodeCount = draw <= 2 ? nodes * 7 / 10 : 0;
+                    world.run(32);
+                    double over = worstExcessOverChance(world, 30);
                     worst = Math.max(worst, over);
                     seen.append(String.format("%n%d nodes, %d a second, draw %d: %.1f over, done %d", nodes, rate, draw, over,
-                            World.sum(world.done, 13, 30)));
+                            SimulatedFleet.sum(world.donePerSecond, 13, 30)));
                 }
             }
         }
@@ -358,24 +358,24 @@
 
     @Test
     void fewConnectionsAreSharedByMoreNodes() {
-        World world = new World(14, 60);
-        world.places = 12;
-        world.play(30);
-        int done = World.sum(world.done, 0, 30);
-        String seen = "done in a second " + world.worth + ", done " + done + " of 1800, crowded " + World.sum(world.crowded, 0, 30) + ", lost " + world.lost;
-        assertTrue(done > 0.85 * 1_800 && world.worth > 0.4 * 1_800 && world.lost == 0, seen);
+        SimulatedFleet world = new SimulatedFleet(14, 60);
+        world.connectionLimit = 12;
+        world.run(30);
+        int done = SimulatedFleet.sum(world.donePerSecond, 0, 30);
+        String seen = "done in a second " + world.doneWithinOneSecond + ", done " + done + " of 1800, crowded " + SimulatedFleet.sum(world.crowdedPerSecond, 0, 30) + ", lost " + world.lostRecords;
+        assertTrue(done > 0.85 * 1_800 && world.doneWithinOneSecond > 0.4 * 1_800 && world.lostRecords == 0, seen);
     }
 
     @Test
     void mostOfAFleetDiesAndReturnsInOneSecondAndNothingIsLost() {
-        World world = new World(14, 140);
-        world.limit = at -> 160;
-        world.killAt = 8 * SECOND;
-        world.killed = 10;
-        world.play(30);
-        int back = World.sum(world.done, 10, 18);
-        int refused = World.sum(world.refused, 9, 18);
-        String seen = "done " + back + ", refused " + refused + ", lost " + world.lost;
-        assertTrue(back > 0.85 * 8 * 140 && refused < 150 && world.lost == 0, seen);
+        SimulatedFleet world = new SimulatedFleet(14, 140);
+        world.callsPerSecondLimit = at -> 160;
+        world.killAt = 8 * SECOND_MICROS;
+        world.killedNodeCount = 10;
+        world.run(30);
+        int back = SimulatedFleet.sum(world.donePerSecond, 10, 18);
+        int refused = SimulatedFleet.sum(world.refusedPerSecond, 9, 18);
+        String seen = "done " + back + ", refused " + refused + ", lost " + world.lostRecords;
+        assertTrue(back > 0.85 * 8 * 140 && refused < 150 && world.lostRecords == 0, seen);
     }
 }
--- a/src/test/java/terndyke/decision/RestartTest.java
+++ b/src/test/java/terndyke/decision/RestartTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static terndyke.decision.Given.START;
-import static terndyke.decision.Given.dispatcher;
-import static terndyke.decision.Given.ended;
-import static terndyke.decision.Given.only;
-import static terndyke.decision.Given.taken;
-import static terndyke.decision.Given.terms;
-import static terndyke.decision.Given.wakeUntil;
+import static terndyke.decision.DispatcherFixture.START_MICROS;
+import static terndyke.decision.DispatcherFixture.dispatcher;
+import static terndyke.decision.DispatcherFixture.shotEnded;
+import static terndyke.decision.DispatcherFixture.actionsOfType;
+import static terndyke.decision.DispatcherFixture.recordAccepted;
+import static terndyke.decision.DispatcherFixture.settings;
+import static terndyke.decision.DispatcherFixture.expireTimersUntil;
 
 import java.util.List;
 
@@ -16,7 +16,7 @@
 
 import terndyke.api.Action;
 import terndyke.api.Action.Bounce;
-import terndyke.api.Action.Shoot;
+import terndyke.api.Action.SendShot;
 import terndyke.api.Action.Terminate;
 import terndyke.api.Ending;
 import terndyke.api.Event;
@@ -25,107 +25,107 @@
 class RestartTest {
 
     /** A record of the grade whose one shot went to endpoint 12 in zone 1 so long ago. */
-    private static Event owed(long id, int grade, long age, Ending ending, boolean over) {
-        return new Event.RecordOwed((Event.RecordTaken) taken(id, grade),
+    private static Event restoredRecord(long id, int grade, long age, Ending ending, boolean over) {
+        return new Event.RecordRestored((Event.RecordAccepted) recordAccepted(id, grade),
                 List.of(new Event.EarlierShot(12, 1, age, ending)), over);
     }
 
-    private static List<Long> endpointsShot(Event owed) {
-        return only(Shoot.class, dispatcher(terms(true, true, 100), 0).turn(START, List.of(owed))).stream()
-                .map(Shoot::endpoint).toList();
+    private static List<Long> shotEndpoints(Event owed) {
+        return actionsOfType(SendShot.class, dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS, List.of(owed))).stream()
+                .map(SendShot::endpoint).toList();
     }
 
     @Test
     void anIdempotentRecordIsShotAgainAtOnce() {
-        assertEquals(1, endpointsShot(owed(1, Given.IDEMPOTENT, 900_000, null, false)).size());
+        assertEquals(1, shotEndpoints(restoredRecord(1, DispatcherFixture.IDEMPOTENT, 900_000, null, false)).size());
     }
 
     @Test
     void aDeduplicatedRecordStaysInItsGroup() {
-        assertEquals(List.of(12L), endpointsShot(owed(1, Given.DEDUPLICATED, 900_000, null, false)));
+        assertEquals(List.of(12L), shotEndpoints(restoredRecord(1, DispatcherFixture.DEDUPLICATED, 900_000, null, false)));
     }
 
     /** The window of the grade is 4 s, and the earlier shot went 0.9 s ago. */
     @Test
     void aRepeatHasToLeaveInsideTheWindowHoweverLateTheTurnIs() {
-        Shoot again = only(Shoot.class, dispatcher(terms(true, true, 100), 0).turn(START,
-                List.of(owed(1, Given.DEDUPLICATED, 900_000, null, false)))).get(0);
-        assertTrue(again.startBy() < START + 3_100_000 && again.startBy() > START + 3_000_000);
-        Shoot free = only(Shoot.class, dispatcher(terms(true, true, 100), 0).turn(START,
-                List.of(owed(1, Given.IDEMPOTENT, 900_000, null, false)))).get(0);
+        SendShot again = actionsOfType(SendShot.class, dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS,
+                List.of(restoredRecord(1, DispatcherFixture.DEDUPLICATED, 900_000, null, false)))).get(0);
+        assertTrue(again.startBy() < START_MICROS + 3_100_000 && again.startBy() > START_MICROS + 3_000_000);
+        SendShot free = actionsOfType(SendShot.class, dispatcher(settings(true, true, 100), 0).handleEvents(START_MICROS,
+                List.of(restoredRecord(1, DispatcherFixture.IDEMPOTENT, 900_000, null, false)))).get(0);
         assertEquals(Long.MAX_VALUE, free.startBy());
     }
 
     @Test
     void aDeduplicatedRecordPastItsWindowIsTerminated() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(owed(1, Given.DEDUPLICATED, 4_000_000, null, false)));
-        actions.addAll(wakeUntil(dispatcher, START + 10_000, START + 100_000));
-        assertEquals(0, only(Shoot.class, actions).size());
-        assertEquals(List.of(new Terminate(1)), only(Terminate.class, actions));
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(restoredRecord(1, DispatcherFixture.DEDUPLICATED, 4_000_000, null, false)));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 100_000));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
+        assertEquals(List.of(new Terminate(1)), actionsOfType(Terminate.class, actions));
     }
 
     @Test
     void anUnrepeatableRecordThatMayHaveRunIsTerminatedAndNeverBounced() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(owed(1, Given.UNREPEATABLE, 900_000, null, false)));
-        actions.addAll(wakeUntil(dispatcher, START + 10_000, START + 100_000));
-        assertEquals(List.of(new Terminate(1)), only(Terminate.class, actions));
-        assertEquals(0, only(Shoot.class, actions).size() + only(Bounce.class, actions).size());
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(restoredRecord(1, DispatcherFixture.UNREPEATABLE, 900_000, null, false)));
+        actions.addAll(expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 100_000));
+        assertEquals(List.of(new Terminate(1)), actionsOfType(Terminate.class, actions));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size() + actionsOfType(Bounce.class, actions).size());
     }
 
     @Test
     void anUnrepeatableRecordThatWasTurnedAwayIsShotAgain() {
-        assertEquals(1, endpointsShot(owed(1, Given.UNREPEATABLE, 900_000, Ending.FULL, false)).size());
+        assertEquals(1, shotEndpoints(restoredRecord(1, DispatcherFixture.UNREPEATABLE, 900_000, Ending.FULL, false)).size());
     }
 
     @Test
-    void aKeysOrderOutlivesTheRestart() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(owed(1, Given.IN_ORDER, 900_000, null, false),
-                taken(2, Given.IN_ORDER)));
-        assertEquals(List.of(1L), only(Shoot.class, actions).stream().map(Shoot::id).toList());
-        long endpoint = only(Shoot.class, actions).get(0).endpoint();
-        actions = dispatcher.turn(START + 200_000, List.of(ended(1, 1, endpoint, Ending.DONE, 0)));
-        assertEquals(List.of(2L), only(Shoot.class, actions).stream().map(Shoot::id).toList());
+    void recordsOfAKeyStayInOrderAcrossARestart() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(restoredRecord(1, DispatcherFixture.IN_ORDER, 900_000, null, false),
+                recordAccepted(2, DispatcherFixture.IN_ORDER)));
+        assertEquals(List.of(1L), actionsOfType(SendShot.class, actions).stream().map(SendShot::id).toList());
+        long endpoint = actionsOfType(SendShot.class, actions).get(0).endpoint();
+        actions = dispatcher.handleEvents(START_MICROS + 200_000, List.of(shotEnded(1, 1, endpoint, Ending.DONE, 0)));
+        assertEquals(List.of(2L), actionsOfType(SendShot.class, actions).stream().map(SendShot::id).toList());
     }
 
     @Test
-    void aKeyRestsAfterAStrayShotOfARecordThatIsOver() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        List<Action> actions = dispatcher.turn(START, List.of(owed(1, Given.IN_ORDER, 900_000, null, true),
-                new Event.EndTold(1), taken(2, Given.IN_ORDER)));
-        assertEquals(0, only(Shoot.class, actions).size());
-        actions = wakeUntil(dispatcher, START + 10_000, START + 200_000);
-        assertEquals(List.of(2L), only(Shoot.class, actions).stream().map(Shoot::id).toList());
+    void aKeyStaysQuietAfterAnUnresolvedShotOfAnEndedRecord() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS, List.of(restoredRecord(1, DispatcherFixture.IN_ORDER, 900_000, null, true),
+                new Event.FinalAnswerDelivered(1), recordAccepted(2, DispatcherFixture.IN_ORDER)));
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
+        actions = expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 200_000);
+        assertEquals(List.of(2L), actionsOfType(SendShot.class, actions).stream().map(SendShot::id).toList());
     }
 
     @Test
-    void aKeyWaitsUntilAnEndIsTold() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        dispatcher.turn(START, List.of(owed(1, Given.IN_ORDER, 900_000, Ending.ERROR, true),
-                taken(2, Given.IN_ORDER)));
-        assertEquals(0, only(Shoot.class, wakeUntil(dispatcher, START + 10_000, START + 500_000)).size());
-        List<Action> actions = dispatcher.turn(START + 510_000, List.of(new Event.EndTold(1)));
-        assertEquals(List.of(2L), only(Shoot.class, actions).stream().map(Shoot::id).toList());
+    void aKeyWaitsUntilTheFinalAnswerIsDelivered() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        dispatcher.handleEvents(START_MICROS, List.of(restoredRecord(1, DispatcherFixture.IN_ORDER, 900_000, Ending.ERROR, true),
+                recordAccepted(2, DispatcherFixture.IN_ORDER)));
+        assertEquals(0, actionsOfType(SendShot.class, expireTimersUntil(dispatcher, START_MICROS + 10_000, START_MICROS + 500_000)).size());
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 510_000, List.of(new Event.FinalAnswerDelivered(1)));
+        assertEquals(List.of(2L), actionsOfType(SendShot.class, actions).stream().map(SendShot::id).toList());
     }
 
     @Test
-    void aTimePastIsAnsweredAtOnce() {
-        Dispatcher dispatcher = dispatcher(terms(true, true, 100), 0);
-        Event.RecordTaken late = new Event.RecordTaken(1, Given.IDEMPOTENT, 0, 0, -50_000, 0, 1, false, false, false);
-        List<Action> actions = dispatcher.turn(START + 20_000, List.of(new Event.RecordOwed(late, List.of(), false)));
+    void aRestoredRecordPastItsAbandonTimeIsAnsweredAtOnceAndNotShot() {
+        Dispatcher dispatcher = dispatcher(settings(true, true, 100), 0);
+        Event.RecordAccepted late = new Event.RecordAccepted(1, DispatcherFixture.IDEMPOTENT, 0, 0, -50_000, 0, 1, false, false, false);
+        List<Action> actions = dispatcher.handleEvents(START_MICROS + 20_000, List.of(new Event.RecordRestored(late, List.of(), false)));
         assertTrue(actions.stream().anyMatch(action -> action instanceof Bounce || action instanceof Terminate));
-        assertEquals(0, only(Shoot.class, actions).size());
+        assertEquals(0, actionsOfType(SendShot.class, actions).size());
     }
 
     @Test
-    void aNodeThatLeavesStartsOnlyWhatCanEndInTime() {
-        Dispatcher soon = dispatcher(terms(true, true, 100), 0);
-        assertEquals(0, only(Shoot.class, soon.turn(START, List.of(new Event.NodeLeaving(100_000),
-                taken(1, Given.IDEMPOTENT)))).size());
-        Dispatcher later = dispatcher(terms(true, true, 100), 0);
-        assertEquals(1, only(Shoot.class, later.turn(START, List.of(new Event.NodeLeaving(2_500_000),
-                taken(1, Given.IDEMPOTENT)))).size());
+    void aNodeShuttingDownStartsOnlyShotsThatCanEndWithinItsGracePeriod() {
+        Dispatcher soon = dispatcher(settings(true, true, 100), 0);
+        assertEquals(0, actionsOfType(SendShot.class, soon.handleEvents(START_MICROS, List.of(new Event.NodeShuttingDown(100_000),
+                recordAccepted(1, DispatcherFixture.IDEMPOTENT)))).size());
+        Dispatcher later = dispatcher(settings(true, true, 100), 0);
+        assertEquals(1, actionsOfType(SendShot.class, later.handleEvents(START_MICROS, List.of(new Event.NodeShuttingDown(2_500_000),
+                recordAccepted(1, DispatcherFixture.IDEMPOTENT)))).size());
     }
 }
--- a/src/test/java/terndyke/decision/RoutePickerTest.java
+++ b/src/test/java/terndyke/decision/RoutePickerTest.java
@@ -39,48 +39,48 @@
     @Test
     void theFasterRouteIsPickedWithinABudgetOfOne() {
         Fit[] fits = {new Fit(100_000, 300_000, 1), new Fit(50_000, 150_000, 1)};
-        assertEquals(0b10, RoutePicker.pick(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
+        assertEquals(0b10, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
 
     @Test
     void bothArePickedWhereTheBudgetAllows() {
         Fit[] fits = {new Fit(100_000, 300_000, 1), new Fit(50_000, 150_000, 1)};
-        assertEquals(0b11, RoutePicker.pick(fits, new double[fits.length], 1e6, 1e7, 0.9, 2));
+        assertEquals(0b11, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 2));
     }
 
     @Test
     void theFasterRouteIsPassedOverBelowTheLeastReliability() {
         Fit[] fits = {new Fit(100_000, 300_000, 0.95), new Fit(50_000, 150_000, 0.5)};
-        assertEquals(0b01, RoutePicker.pick(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
+        assertEquals(0b01, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
 
     @Test
     void theMostReliableSetIsTakenWhereNoneIsReliableEnough() {
         Fit[] fits = {new Fit(50_000, 150_000, 0.3), new Fit(100_000, 300_000, 0.6)};
-        assertEquals(0b10, RoutePicker.pick(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
+        assertEquals(0b10, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
 
     @Test
     void tiesOfReliabilityGoToTheIndex() {
         Fit[] fits = {new Fit(100_000, 300_000, 0.5), new Fit(50_000, 150_000, 0.5)};
-        assertEquals(0b10, RoutePicker.pick(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
+        assertEquals(0b10, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
 
     @Test
     void ofRoutesThatAnswerWithinTheTargetTheCheapestIsPicked() {
         Fit[] fits = {new Fit(100_000, 300_000, 1), new Fit(50_000, 150_000, 1)};
-        assertEquals(0b01, RoutePicker.pick(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
+        assertEquals(0b01, RoutePicker.pickSubset(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
     }
 
     @Test
-    void aCheapRouteThatIsLikelyToBeLateIsNoBargain() {
+    void aCheapRouteThatIsLikelyToBeLateIsNotPicked() {
         Fit[] fits = {new Fit(100_000, 900_000, 1), new Fit(50_000, 150_000, 1)};
-        assertEquals(0b10, RoutePicker.pick(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
+        assertEquals(0b10, RoutePicker.pickSubset(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
     }
 
     @Test
-    void aCheapRouteThatServesLittleIsNoBargain() {
+    void aCheapRouteWithLowReliabilityIsNotPicked() {
         Fit[] fits = {new Fit(100_000, 300_000, 0.5), new Fit(50_000, 150_000, 0.95)};
-        assertEquals(0b10, RoutePicker.pick(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
+        assertEquals(0b10, RoutePicker.pickSubset(fits, new double[] {0.01, 0.04}, 1e6, 1e7, 0.9, 1));
     }
 }
--- a/src/test/java/terndyke/node/CharterTest.java
+++ b/src/test/java/terndyke/node/CharterTest.java
@@ -12,9 +12,9 @@
 
 import org.junit.jupiter.api.Test;
 
-import terndyke.api.DeliveryTerms;
-import terndyke.api.DeliveryTerms.ListedRates;
-import terndyke.api.ServiceGrade.Effect;
+import terndyke.api.DeliverySettings;
+import terndyke.api.DeliverySettings.ListedRateAccuracy;
+import terndyke.api.ServiceGrade.RepeatSemantics;
 
 class CharterTest {
     static final String SETTINGS = """
@@ -51,9 +51,9 @@
         assertEquals(List.of("acme"), charter.tenants());
         assertEquals(List.of("east", "west"), charter.zones());
         assertEquals(0x8c1f30d27a5be964L, charter.terms().seed());
-        assertEquals(Effect.DEDUPLICATED, charter.terms().grades().get(1).effect());
-        assertEquals(List.of(false, true), charter.terms().routesApart());
-        assertEquals(List.of(1, 1), charter.terms().recordsPerCall(), "one record travels in a call");
+        assertEquals(RepeatSemantics.DEDUPLICATED, charter.terms().grades().get(1).repeatSemantics());
+        assertEquals(List.of(false, true), charter.terms().independentRoutesByKind());
+        assertEquals(List.of(1, 1), charter.terms().maxRecordsPerCallByKind(), "one record travels in a call");
         assertEquals("s-1", charter.known().get("targets.0.uid"));
         assertEquals(500_000, charter.limits().connectTimeout());
         assertTrue(charter.limits().idleClose() < 15_000_000);
@@ -75,20 +75,20 @@
                 .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
                 .replace("\"late\":\"even\"", "\"late\":\"by_half\",\"zoneFee\":[0.01,0.04]")
                 .replace("\"tenants\":", "\"costs\":{\"crossZone\":0.03,\"handshake\":0.06},\"tenants\":");
-        DeliveryTerms terms = read(whole(told)).terms();
-        assertEquals(ListedRates.TRUE, terms.listed());
-        assertTrue(terms.listOnRequest() && terms.payoffHalves());
+        DeliverySettings terms = read(whole(told)).terms();
+        assertEquals(ListedRateAccuracy.EXACT, terms.listedRateAccuracy());
+        assertTrue(terms.listOnRequest() && terms.exponentialPayoffDecay());
         assertEquals(List.of(0.01, 0.04), terms.hallFees());
-        assertEquals(0.03, terms.crossingPrice());
-        assertEquals(0.06, terms.connectionPrice());
+        assertEquals(0.03, terms.zoneCrossingPrice());
+        assertEquals(0.06, terms.newConnectionPrice());
     }
 
     @Test
     void withoutPricesACallCostsNothingAndTheListIsRoughAndPushed() throws IOException {
-        DeliveryTerms terms = read(whole(SETTINGS)).terms();
-        assertEquals(ListedRates.ROUGH, terms.listed());
+        DeliverySettings terms = read(whole(SETTINGS)).terms();
+        assertEquals(ListedRateAccuracy.ROUGH, terms.listedRateAccuracy());
         assertFalse(terms.listOnRequest());
-        assertEquals(0, terms.hallFee(0) + terms.crossingPrice() + terms.connectionPrice());
+        assertEquals(0, terms.hallFee(0) + terms.zoneCrossingPrice() + terms.newConnectionPrice());
     }
 
     /** Guards against a mistyped setting that silently turns into a default: the line names what is allowed. */
--- a/src/test/java/terndyke/node/discovery/CatalogueTest.java
+++ b/src/test/java/terndyke/node/discovery/CatalogueTest.java
@@ -16,7 +16,7 @@
 
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
-import terndyke.api.ListedEndpoint.Standing;
+import terndyke.api.ListedEndpoint.EndpointState;
 import terndyke.node.http.Calls;
 
 class CatalogueTest {
@@ -25,7 +25,7 @@
     private final Catalogue catalogue = new Catalogue(List.of("east", "west"), List.of("a", "b"));
     private final List<String> unread = new ArrayList<>();
 
-    private Event.ListTold take(int rev, boolean all, String... targets) throws IOException {
+    private Event.ListReceived take(int rev, boolean all, String... targets) throws IOException {
         String json = "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
         return catalogue.take(json.getBytes(StandardCharsets.UTF_8), NOW, unread);
     }
@@ -37,9 +37,9 @@
 
     @Test
     void anEntryIsReadWhole() throws IOException {
-        Event.ListTold told = take(41, true, target("s-1", "127.0.0.9:8443", "active"));
-        assertTrue(told.whole());
-        assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, Standing.READY, 12_000, 3)), told.entries());
+        Event.ListReceived told = take(41, true, target("s-1", "127.0.0.9:8443", "active"));
+        assertTrue(told.complete());
+        assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, EndpointState.READY, 12_000, 3)), told.entries());
         assertEquals(41, catalogue.version());
         assertTrue(catalogue.knows(3));
         assertFalse(catalogue.knows(4));
@@ -48,18 +48,18 @@
     @Test
     void anEndpointKeepsItsNumberAndTakesItsNewAddress() throws IOException {
         take(1, true, target("s-1", "127.0.0.9:1", "active"), target("s-2", "127.0.0.9:2", "active"));
-        Event.ListTold told = take(2, false, target("s-2", "127.0.0.9:3", "leaving"));
-        assertFalse(told.whole());
+        Event.ListReceived told = take(2, false, target("s-2", "127.0.0.9:3", "leaving"));
+        assertFalse(told.complete());
         assertEquals(1, told.entries().get(0).endpoint());
-        assertEquals(Standing.DRAINING, told.entries().get(0).standing());
+        assertEquals(EndpointState.DRAINING, told.entries().get(0).state());
         assertEquals(3, catalogue.member("s-2").peer().address().getPort());
     }
 
     @Test
     void anEndpointOfAnotherDestinationIsAnotherEndpoint() throws IOException {
         take(1, true, target("s-1", "127.0.0.9:1", "active"));
-        Event.ListTold told = take(2, false, target("s-1", "127.0.0.9:1", "active").replace(":3,", ":5,"));
-        assertEquals(List.of(Standing.GONE, Standing.READY), told.entries().stream().map(e -> e.standing()).toList());
+        Event.ListReceived told = take(2, false, target("s-1", "127.0.0.9:1", "active").replace(":3,", ":5,"));
+        assertEquals(List.of(EndpointState.GONE, EndpointState.READY), told.entries().stream().map(e -> e.state()).toList());
         assertEquals(List.of(3, 5), told.entries().stream().map(e -> e.destination()).toList());
         assertEquals(3, catalogue.member(0).destination());
         assertEquals(1, catalogue.left().size());
@@ -94,7 +94,7 @@
 
     @Test
     void anEntryThatCannotBeReadIsPassedOver() throws IOException {
-        Event.ListTold told = take(1, true, target("s-1", "some.host:1", "active"),
+        Event.ListReceived told = take(1, true, target("s-1", "some.host:1", "active"),
                 target("s-2", "127.0.0.9:2", "asleep"), "{}", target("s-3", "127.0.0.9:3", "active"));
         assertEquals(1, told.entries().size());
         assertEquals(3, unread.size());
