--- a/src/main/java/terndyke/Main.java
+++ b/src/main/java/terndyke/Main.java
@@ -23,19 +23,19 @@
 import com.beust.jcommander.Parameters;
 
 import terndyke.adapter.BenchAdapter;
-import terndyke.node.Charter;
+import terndyke.node.NodeConfiguration;
 import terndyke.node.DeliveryNode;
 import terndyke.node.NodeLog;
 
 /** The command line: one subcommand for each way to run terndyke. */
 public final class Main {
-    private static final int BAD_INPUT = 2;
-    private static final int BAD_USAGE = 64;
+    private static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_BAD_USAGE = 64;
 
     private Main() { }
 
     @Parameters(commandDescription = "run a delivery node until it is told to end")
-    private static final class Serve {
+    private static final class ServeOptions {
         @Parameter(names = "--config", description = "the node's configuration; else NODE_CONFIG")
         private String config = System.getenv("NODE_CONFIG");
         @Parameter(names = "--name", description = "the node's name; else NODE_NAME, else the configuration's")
@@ -51,44 +51,44 @@
     }
 
     @Parameters(commandDescription = "answer the bench's wire on standard input and output")
-    private static final class Adapter { }
+    private static final class AdapterOptions { }
 
     @Parameters(commandDescription = "print the version")
-    private static final class Version { }
+    private static final class VersionOptions { }
 
     @Parameters(commandDescription = "the laboratory: lab help shows its commands")
-    private static final class Lab {
+    private static final class LabOptions {
         @Parameter(description = "command and its options")
-        private List<String> rest = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
     }
 
     @Parameters(commandDescription = "show this text")
-    private static final class Help { }
+    private static final class HelpOptions { }
 
     public static void main(String[] arguments) {
         if (arguments.length > 0 && arguments[0].equals("lab")) {
-            System.exit(lab(Arrays.copyOfRange(arguments, 1, arguments.length)));
+            System.exit(runLab(Arrays.copyOfRange(arguments, 1, arguments.length)));
         }
-        CompletableFuture<Runnable> reread = arguments.length > 0 && arguments[0].equals("serve") ? hearHangups() : null;
-        Serve serve = new Serve();
+        CompletableFuture<Runnable> reread = arguments.length > 0 && arguments[0].equals("serve") ? handleHangupSignals() : null;
+        ServeOptions serve = new ServeOptions();
         JCommander commands = JCommander.newBuilder().programName("terndyke").addCommand("serve", serve)
-                .addCommand("adapter", new Adapter())
-                .addCommand("lab", new Lab()).addCommand("version", new Version())
-                .addCommand("help", new Help()).build();
+                .addCommand("adapter", new AdapterOptions())
+                .addCommand("lab", new LabOptions()).addCommand("version", new VersionOptions())
+                .addCommand("help", new HelpOptions()).build();
         try {
             commands.parse(arguments);
         } catch (ParameterException e) {
             System.err.println("terndyke: " + e.getMessage());
-            System.exit(BAD_USAGE);
+            System.exit(EXIT_BAD_USAGE);
         }
         switch (String.valueOf(commands.getParsedCommand())) {
             case "serve" -> serve(serve, reread);
-            case "adapter" -> System.exit(adapter());
+            case "adapter" -> System.exit(runAdapter());
             case "version" -> System.out.println("terndyke " + Main.class.getPackage().getImplementationVersion());
             case "help" -> commands.usage();
             default -> {
                 commands.usage();
-                System.exit(BAD_USAGE);
+                System.exit(EXIT_BAD_USAGE);
             }
         }
     }
@@ -98,7 +98,7 @@
      * is a node is told to it as soon as there is one. One at a time, and one more that waits: whatever comes beside these
      * reads the same file.
      */
-    private static CompletableFuture<Runnable> hearHangups() {
+    private static CompletableFuture<Runnable> handleHangupSignals() {
         CompletableFuture<Runnable> reread = new CompletableFuture<>();
         ThreadPoolExecutor rereads = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), work -> {
             Thread thread = new Thread(work, "terndyke-reread");
@@ -106,20 +106,20 @@
             return thread;
         }, new ThreadPoolExecutor.DiscardPolicy());
         try {
-            Signals.on("HUP", () -> rereads.execute(() -> reread.join().run()));
+            SignalHandlers.register("HUP", () -> rereads.execute(() -> reread.join().run()));
         } catch (IOException e) {
             System.err.println("terndyke: " + e.getMessage());
-            System.exit(BAD_INPUT);
+            System.exit(EXIT_BAD_INPUT);
         }
         return reread;
     }
 
-    private static void serve(Serve serve, CompletableFuture<Runnable> reread) {
+    private static void serve(ServeOptions serve, CompletableFuture<Runnable> reread) {
         try {
-            Charter.Place place = new Charter.Place(serve.config, serve.name, serve.listen, serve.discovery, serve.state);
-            Charter charter = Charter.read(place);
+            NodeConfiguration.StartupOptions place = new NodeConfiguration.StartupOptions(serve.config, serve.name, serve.listen, serve.discovery, serve.state);
+            NodeConfiguration charter = NodeConfiguration.read(place);
             DeliveryNode node = new DeliveryNode(charter, new NodeLog(System.out, charter.name(), serve.trace));
-            reread.complete(() -> node.reread(place));
+            reread.complete(() -> node.reloadConfiguration(place));
             Thread close = new Thread(() -> {
                 node.close();
                 Runtime.getRuntime().halt(0);
@@ -133,7 +133,7 @@
             }
         } catch (IOException e) {
             System.err.println("terndyke: " + String.valueOf(e.getMessage()).replace('\n', ' '));
-            System.exit(BAD_INPUT);
+            System.exit(EXIT_BAD_INPUT);
         }
     }
 
@@ -141,7 +141,7 @@
      * The laboratory lies in a jar of its own beside this one, so that no node ever loads or opens anything of it; on a
      * class path of folders it is just there.
      */
-    private static int lab(String[] arguments) {
+    private static int runLab(String[] arguments) {
         try {
             Path own = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
             ClassLoader loader = Main.class.getClassLoader();
@@ -149,7 +149,7 @@
                 Path jar = own.resolveSibling("terndyke-lab.jar");
                 if (!Files.isRegularFile(jar)) {
                     System.err.println("terndyke: the laboratory is not installed: " + jar + " is missing");
-                    return BAD_INPUT;
+                    return EXIT_BAD_INPUT;
                 }
                 System.setProperty("terndyke.jar", own.toString());
                 loader = new URLClassLoader(new URL[] {jar.toUri().toURL()}, loader);
@@ -163,7 +163,7 @@
         }
     }
 
-    private static int adapter() {
+    private static int runAdapter() {
         try {
             return new BenchAdapter().serve(new FileInputStream(FileDescriptor.in),
                     new FileOutputStream(FileDescriptor.out), System.err);
--- a/src/main/java/terndyke/lab/Lab.java
+++ b/src/main/java/terndyke/lab/Lab.java
@@ -22,7 +22,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import terndyke.Signals;
+import terndyke.SignalHandlers;
 import terndyke.lab.emulate.Emulator;
 import terndyke.lab.traced.FleetSums;
 import terndyke.lab.traced.Story;
@@ -229,8 +229,8 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> ProcessHandle.current().descendants()
                 .forEach(ProcessHandle::destroyForcibly), "terndyke-lab-end"));
         try {
-            Signals.on("INT", lab::interrupt);
-            Signals.on("TERM", lab::interrupt);
+            SignalHandlers.register("INT", lab::interrupt);
+            SignalHandlers.register("TERM", lab::interrupt);
         } catch (IOException e) {
             System.err.println("terndyke lab: " + e.getMessage() + "; an interrupt leaves no report");
         }
--- a/src/main/java/terndyke/node/Counters.java
+++ b/src/main/java/terndyke/node/Counters.java
@@ -8,7 +8,7 @@
 public final class Counters {
 
     /** One thing that is counted. */
-    public enum Count {
+    public enum Counter {
         CLIENT_CONNECTIONS, ACCEPTS_HELD, TURNED_OUT, REQUESTS_IN, MALFORMED, TOO_LARGE, REFUSED_AT_DOOR, TAKEN, BOUNCED_AT_ONCE, REPEATS,
         WITHDRAWN, RESTORED, SHOTS, CONNECTIONS_OPENED, DONE, ERROR, FULL, TIMED_OUT, NOT_CONNECTED, RESET, RECALLED,
         NOT_SENT, CROWDED, PROBES, ENDED_DONE, ENDED_BOUNCED, ENDED_TERMINATED, NOTICES_SENT, NOTICES_ANSWERED, LISTS_TOLD,
@@ -25,31 +25,31 @@
         LONGEST_NOTICE
     }
 
-    private final Map<Count, AtomicLong> counts = new EnumMap<>(Count.class);
+    private final Map<Counter, AtomicLong> counts = new EnumMap<>(Counter.class);
 
     public Counters() {
-        for (Count count : Count.values()) {
+        for (Counter count : Counter.values()) {
             counts.put(count, new AtomicLong());
         }
     }
 
-    public void add(Count count) {
+    public void add(Counter count) {
         add(count, 1);
     }
 
-    public void add(Count count, long many) {
+    public void add(Counter count, long many) {
         counts.get(count).addAndGet(many);
     }
 
     /** Keeps the largest figure. */
-    public void most(Count count, long figure) {
+    public void recordMaximum(Counter count, long figure) {
         AtomicLong most = counts.get(count);
         if (figure > most.get()) { // one thread writes it
             most.set(figure);
         }
     }
 
-    public long of(Count count) {
+    public long get(Counter count) {
         return counts.get(count).get();
     }
 
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -12,75 +12,75 @@
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Entry;
 import terndyke.node.journal.Journal;
-import terndyke.node.stage.Book;
-import terndyke.node.stage.Desk;
-import terndyke.node.stage.Owed;
-import terndyke.node.stage.Word;
+import terndyke.node.stage.RecordStore;
+import terndyke.node.stage.DecisionLoop;
+import terndyke.node.stage.TrackedRecord;
+import terndyke.node.stage.LoopEvent;
 
 /** A delivery node that others can embed: start() serves, close() leaves in good order. */
 public final class DeliveryNode implements AutoCloseable {
-    private final Charter charter;
+    private final NodeConfiguration configuration;
     private final NodeLog log;
     private final Counters counters = new Counters();
     private Reactor reactor;
     private Journal journal;
-    private volatile Door door; // the last part to come at the start
-    private volatile Desk desk;
-    private Thread thread;
+    private volatile Door requestHandler; // the last part to come at the start
+    private volatile DecisionLoop decisionLoop;
+    private Thread decisionThread;
     private volatile boolean ready;
-    private volatile boolean leaving;
-    private volatile InetSocketAddress movedTo; // as read again, or null
+    private volatile boolean shuttingDown;
+    private volatile InetSocketAddress reloadedDiscoveryAddress; // as read again, or null
 
-    public DeliveryNode(Charter charter, NodeLog log) {
-        this.charter = charter;
+    public DeliveryNode(NodeConfiguration charter, NodeLog log) {
+        this.configuration = charter;
         this.log = log;
     }
 
     /** Takes up what the last life owed and serves from then on. */
     public void start() throws IOException {
-        Limits limits = charter.limits();
+        Limits limits = configuration.limits();
         NodeClock clock = new NodeClock();
         List<Entry> entries = new ArrayList<>();
         try {
-            journal = Journal.open(charter.folder(), limits.journalBytes(), log, entries);
+            journal = Journal.open(configuration.stateDirectory(), limits.maxJournalBytes(), log, entries);
         } catch (IOException e) {
-            throw new IOException("no journal can be kept in " + charter.folder() + ": " + e.getMessage(), e);
+            throw new IOException("no journal can be kept in " + configuration.stateDirectory() + ": " + e.getMessage(), e);
         }
-        Catalogue catalogue = new Catalogue(charter.zones(), charter.kinds());
+        Catalogue catalogue = new Catalogue(configuration.zoneNames(), configuration.endpointKinds());
         List<String> unread = new ArrayList<>();
         Event.ListReceived known = new Event.ListReceived(List.of(), true);
         try {
-            known = charter.known().isEmpty() ? known : catalogue.take(charter.known(), clock.now(), unread);
+            known = configuration.knownEndpoints().isEmpty() ? known : catalogue.take(configuration.knownEndpoints(), clock.now(), unread);
         } catch (IOException e) {
             log.warn("known list passed over: " + e.getMessage());
         }
         unread.forEach(text -> log.warn("known list: " + text));
-        Rehearsal.decide(charter, limits.rehearse());
-        Book book = new Book(journal, limits, counters, log);
-        Collection<Owed> owed = book.restore(entries);
+        WarmUp.warmUpDispatcher(configuration, limits.warmUpTimeoutMicros());
+        RecordStore book = new RecordStore(journal, limits, counters, log);
+        Collection<TrackedRecord> owed = book.restore(entries);
         reactor = new Reactor(limits, counters, log);
         reactor.start();
-        desk = new Desk(charter, reactor, catalogue, book, clock, counters, log);
-        if (movedTo != null) {
-            desk.post(new Word.Moved(movedTo)); // read again before there was a desk to tell
+        decisionLoop = new DecisionLoop(configuration, reactor, catalogue, book, clock, counters, log);
+        if (reloadedDiscoveryAddress != null) {
+            decisionLoop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress)); // read again before there was a desk to tell
         }
-        desk.restore(known, owed);
-        thread = new Thread(desk, "terndyke-desk");
-        thread.start();
-        door = new Door(limits, counters, charter.grades(), charter.tenants(), clock::now, () -> ready && !leaving,
-                desk::handOver, handover -> desk.post(new Word.Left(handover)));
-        reactor.listen(charter.listen(), door);
-        Rehearsal.talk(charter, reactor, clock, charter.listen(), limits.rehearse());
-        awaitBegun(limits.startWithin());
+        decisionLoop.restore(known, owed);
+        decisionThread = new Thread(decisionLoop, "terndyke-desk");
+        decisionThread.start();
+        requestHandler = new Door(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now, () -> ready && !shuttingDown,
+                decisionLoop::offerRequest, handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
+        reactor.listen(configuration.listenAddress(), requestHandler);
+        WarmUp.warmUpHttp(configuration, reactor, clock, configuration.listenAddress(), limits.warmUpTimeoutMicros());
+        awaitFirstTurn(limits.startTimeoutMicros());
         ready = true;
         log.trace(clock.now(), "serving");
-        log.info("serving on " + charter.listen() + ", " + known.entries().size() + " endpoints known, "
-                + counters.of(Counters.Count.RESTORED) + " records owed from the last life");
+        log.info("serving on " + configuration.listenAddress() + ", " + known.entries().size() + " endpoints known, "
+                + counters.get(Counters.Counter.RESTORED) + " records owed from the last life");
     }
 
-    private void awaitBegun(long within) throws IOException {
+    private void awaitFirstTurn(long within) throws IOException {
         try {
-            desk.awaitBegun(within);
+            decisionLoop.awaitFirstTurn(within);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
@@ -91,16 +91,16 @@
      * Reads the configuration again and follows discovery to the address that it names; all else in it is for the next
      * start. What cannot be read leaves the node as it is. From any thread but the node's own.
      */
-    public void reread(Charter.Place place) {
+    public void reloadConfiguration(NodeConfiguration.StartupOptions place) {
         try {
-            Charter told = Charter.read(place);
-            boolean same = charter.movedTo(told.discovery()).equals(told);
-            log.info("configuration read again, discovery at " + told.discovery()
+            NodeConfiguration told = NodeConfiguration.read(place);
+            boolean same = configuration.withDiscoveryAddress(told.discoveryAddress()).equals(told);
+            log.info("configuration read again, discovery at " + told.discoveryAddress()
                     + (same ? "" : "; what else differs is taken up at the next start"));
-            movedTo = told.discovery();
-            Desk running = desk; // where there is none yet, the start tells it
+            reloadedDiscoveryAddress = told.discoveryAddress();
+            DecisionLoop running = decisionLoop; // where there is none yet, the start tells it
             if (running != null) {
-                running.post(new Word.Moved(movedTo));
+                running.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
             }
         } catch (IOException | RuntimeException e) {
             log.warn("configuration not taken up, the old one stays: " + e.getMessage());
@@ -114,15 +114,15 @@
     /** Takes nothing new, finishes what can still be finished in time, and leaves the rest in the journal. */
     @Override
     public void close() {
-        if (door == null) {
+        if (requestHandler == null) {
             return;
         }
-        leaving = true;
-        door.closing();
-        desk.post(new Word.Leave());
+        shuttingDown = true;
+        requestHandler.closing();
+        decisionLoop.post(new LoopEvent.ShutdownRequested());
         try {
-            thread.join(charter.limits().leaveWithin() / 1000 + 200);
-            desk.shut();
+            decisionThread.join(configuration.limits().shutdownGracePeriodMicros() / 1000 + 200);
+            decisionLoop.stop();
             reactor.close();
             journal.close();
         } catch (InterruptedException e) {
--- a/src/main/java/terndyke/node/FlatJson.java
+++ b/src/main/java/terndyke/node/FlatJson.java
@@ -10,7 +10,7 @@
 
 /** Reads JSON into paths and plain values: lists of plain values are joined by commas, others carry a count. */
 public final class FlatJson {
-    private static final JsonFactory FACTORY = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
     private final Map<String, String> values = new LinkedHashMap<>();
 
@@ -19,11 +19,11 @@
     /** The values by path, such as known.targets.0.uid; an IOException names what cannot be read. */
     public static Map<String, String> read(byte[] json) throws IOException {
         FlatJson flat = new FlatJson();
-        try (JsonParser parser = FACTORY.createParser(json)) {
+        try (JsonParser parser = JSON_FACTORY.createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
-            flat.object(parser, "");
+            flat.readObject(parser, "");
             if (parser.nextToken() != null) {
                 throw new IOException("more than one JSON object");
             }
@@ -32,7 +32,7 @@
     }
 
     /** The part of the values below a path, with the path taken off. */
-    public static Map<String, String> below(String path, Map<String, String> values) {
+    public static Map<String, String> subtree(String path, Map<String, String> values) {
         Map<String, String> part = new LinkedHashMap<>();
         values.forEach((key, value) -> {
             if (key.startsWith(path + ".")) {
@@ -42,31 +42,31 @@
         return part;
     }
 
-    private void object(JsonParser parser, String path) throws IOException {
+    private void readObject(JsonParser parser, String path) throws IOException {
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            value(parser, path.isEmpty() ? name : path + "." + name);
+            readValue(parser, path.isEmpty() ? name : path + "." + name);
         }
     }
 
-    private void value(JsonParser parser, String path) throws IOException {
+    private void readValue(JsonParser parser, String path) throws IOException {
         switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser, path);
-            case START_ARRAY -> list(parser, path);
+            case START_OBJECT -> readObject(parser, path);
+            case START_ARRAY -> readArray(parser, path);
             case VALUE_NULL -> { }
             default -> values.put(path, parser.getText());
         }
     }
 
-    private void list(JsonParser parser, String path) throws IOException {
+    private void readArray(JsonParser parser, String path) throws IOException {
         StringBuilder plain = new StringBuilder();
         int count = 0;
         boolean nested = false;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isStructStart()) {
                 nested = true;
-                value(parser, path + "." + count);
+                readValue(parser, path + "." + count);
             } else {
                 plain.append(count > 0 ? "," : "").append(parser.getText());
             }
--- a/src/main/java/terndyke/node/Limits.java
+++ b/src/main/java/terndyke/node/Limits.java
@@ -5,21 +5,21 @@
  * microseconds, sizes are bytes.
  */
 public record Limits(
-        int bodyBytes, int answerBytes, int lineBytes, int headers, int idChars, int bufferBytes,
-        int clientConnections, int spareConnections, int comingConnections, int backlog, int endpointConnections, int probes,
-        int inbox, int wordsATurn, int records, long heldBytes, int remembered,
-        long journalBytes, long journalReserve,
-        long connectTimeout, long idleClose, long lineRest, long restOfAnswer,
-        long halfRequest, long firstRequest, long clientIdle, long idleAtLeast, long silentFor, long silentAtLeast,
-        int requestsWaiting, int passedOver, long answerWithin,
-        long watchWait, long watchSlack, int patientBreaks, long resend, long unanswered, long probeTimeout, long unbooked,
-        long longestRecord, long longestSleep, long selectEvery, long sweepEvery, long rememberFor,
-        long rememberGone, int goneAtMost,
-        long startWithin, long rehearse, long leaveWithin, long leaveLast, long lastWords, long closeWithin,
-        long slowTurn, long slowLineEvery, long noticeWithin, long noticeTimeout, long noticeRest) {
+        int maxBodyBytes, int maxResponseBytes, int maxHeaderLineBytes, int maxHeaders, int maxIdChars, int ioBufferBytes,
+        int maxClientConnections, int maxExcessClientConnections, int maxPendingConnections, int listenBacklog, int maxEndpointConnections, int maxConcurrentProbes,
+        int requestQueueCapacity, int maxEventsPerTurn, int maxHeldRecords, long maxHeldBytes, int maxEndedRecords,
+        long maxJournalBytes, long journalReserveBytes,
+        long connectTimeoutMicros, long idleConnectionTimeoutMicros, long connectionReuseDelayMicros, long responseReadTimeoutMicros,
+        long requestReadTimeoutMicros, long firstRequestTimeoutMicros, long idleClientTimeoutMicros, long idleClientEvictionMicros, long silentClientTimeoutMicros, long silentClientEvictionMicros,
+        int maxPipelinedRequests, int maxDiscardedBodyBytes, long maxAdmissionDelayMicros,
+        long watchWaitMicros, long watchSlackMicros, int maxWatchTimeoutMultiplier, long retryDelayMicros, long responseTimeoutMicros, long probeTimeoutMicros, long journalFailureDelayMicros,
+        long maxRecordTimeoutMicros, long maxPollWaitMicros, long selectIntervalMicros, long sweepIntervalMicros, long endedRecordRetentionMicros,
+        long goneEndpointRetentionMicros, int maxGoneEndpoints,
+        long startTimeoutMicros, long warmUpTimeoutMicros, long shutdownGracePeriodMicros, long minShutdownMicros, long finalEventPollMicros, long closeTimeoutMicros,
+        long slowTurnThresholdMicros, long slowTurnLogIntervalMicros, long noticeDeadlineMicros, long noticeTimeoutMicros, long noticeRetryDelayMicros) {
 
     /** Shares out a machine's memory, descriptors and disk, with the terms' bounds on calls and records. */
-    public static Limits shareOut(int memoryMb, int sockets, double diskMb, int slots, int holdingRoom,
+    public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int holdingRoom,
             long connectTimeout, long idleClose) {
         int descriptors = Math.max(64, sockets - 48); // the program's own: jar, selectors, journal, log
         int calls = Math.max(8, Math.min(descriptors / 2, 8 * slots));
--- a/src/main/java/terndyke/node/NodeClock.java
+++ b/src/main/java/terndyke/node/NodeClock.java
@@ -5,15 +5,15 @@
 
 /** The node's clock in whole microseconds: the wall clock at its start, carried on by the monotonic one. */
 public final class NodeClock {
-    private final long wallAtStart;
-    private final long nanosAtStart = System.nanoTime();
+    private final long wallClockAtStartMicros;
+    private final long monotonicAtStartNanos = System.nanoTime();
 
     public NodeClock() {
         Duration since = Duration.between(Instant.EPOCH, Instant.now());
-        wallAtStart = since.getSeconds() * 1_000_000 + since.getNano() / 1000;
+        wallClockAtStartMicros = since.getSeconds() * 1_000_000 + since.getNano() / 1000;
     }
 
     public long now() {
-        return wallAtStart + (System.nanoTime() - nanosAtStart) / 1000;
+        return wallClockAtStartMicros + (System.nanoTime() - monotonicAtStartNanos) / 1000;
     }
 }
--- a/src/main/java/terndyke/node/NodeLog.java
+++ b/src/main/java/terndyke/node/NodeLog.java
@@ -11,15 +11,15 @@
  */
 public final class NodeLog {
     /** The first word of each traced line. */
-    public static final String TRACE = "trace";
+    public static final String TRACE_PREFIX = "trace";
     private static final int LINES_PER_SECOND = 50;
-    private static final int MESSAGE_LINES_PER_SECOND = 20;
+    private static final int RECORD_LINES_PER_SECOND = 20;
 
     private final PrintStream out;
     private final String name;
-    private final boolean tracing;
-    private final Budget lines = new Budget(LINES_PER_SECOND, "more lines left out this second");
-    private final Budget messageLines = new Budget(MESSAGE_LINES_PER_SECOND, "more lines on messages left out this second");
+    private final boolean tracingEnabled;
+    private final LineRateLimiter lineLimiter = new LineRateLimiter(LINES_PER_SECOND, "more lines left out this second");
+    private final LineRateLimiter recordLineLimiter = new LineRateLimiter(RECORD_LINES_PER_SECOND, "more lines on messages left out this second");
 
     public NodeLog(PrintStream out, String name) {
         this(out, name, false);
@@ -28,18 +28,18 @@
     public NodeLog(PrintStream out, String name, boolean tracing) {
         this.out = out;
         this.name = name;
-        this.tracing = tracing;
+        this.tracingEnabled = tracing;
     }
 
     /** Whether it is worth finding out what a traced line would say. */
-    public boolean tracing() {
-        return tracing;
+    public boolean isTracing() {
+        return tracingEnabled;
     }
 
     /** One traced line: when, on the node's clock in whole microseconds, the verb, and what it is about, in order. */
     public void trace(long now, String verb, Object... about) {
-        if (tracing) {
-            StringBuilder line = new StringBuilder(TRACE).append(' ').append(now).append(' ').append(name).append(' ')
+        if (tracingEnabled) {
+            StringBuilder line = new StringBuilder(TRACE_PREFIX).append(' ').append(now).append(' ').append(name).append(' ')
                     .append(verb);
             for (Object one : about) {
                 line.append(' ').append(one);
@@ -49,16 +49,16 @@
     }
 
     public void info(String text) {
-        line(lines, "info ", text);
+        writeLine(lineLimiter, "info ", text);
     }
 
     /** What became of one message that did not go the ordinary way: its id, what happened, and why. */
-    public void message(String text) {
-        line(messageLines, "info ", text);
+    public void infoAboutRecord(String text) {
+        writeLine(recordLineLimiter, "info ", text);
     }
 
     public void warn(String text) {
-        line(lines, "warn ", text);
+        writeLine(lineLimiter, "warn ", text);
     }
 
     public void warn(String text, Throwable cause) {
@@ -66,34 +66,34 @@
         warn(text + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
-    private synchronized void line(Budget budget, String level, String text) {
+    private synchronized void writeLine(LineRateLimiter budget, String level, String text) {
         Instant now = Instant.now();
-        int before = budget.take(now.getEpochSecond());
-        if (before < budget.most) {
+        int before = budget.countLine(now.getEpochSecond());
+        if (before < budget.maxPerSecond) {
             out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " "
                     + text.replace('\n', ' ').replace('\r', ' '));
-        } else if (before == budget.most) {
-            out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " " + budget.whenSpent);
+        } else if (before == budget.maxPerSecond) {
+            out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " " + budget.exceededText);
         }
     }
 
     /** How many lines of one kind have been asked for in the current second. */
-    private static final class Budget {
-        private final int most;
-        private final String whenSpent;
-        private long second;
-        private int taken;
+    private static final class LineRateLimiter {
+        private final int maxPerSecond;
+        private final String exceededText;
+        private long currentSecond;
+        private int linesThisSecond;
 
-        Budget(int most, String whenSpent) {
-            this.most = most;
-            this.whenSpent = whenSpent;
+        LineRateLimiter(int most, String whenSpent) {
+            this.maxPerSecond = most;
+            this.exceededText = whenSpent;
         }
 
         /** Takes one line, and says how many were taken before it in the same second. */
-        int take(long now) {
-            taken = now == second ? taken + 1 : 0;
-            second = now;
-            return taken;
+        int countLine(long now) {
+            linesThisSecond = now == currentSecond ? linesThisSecond + 1 : 0;
+            currentSecond = now;
+            return linesThisSecond;
         }
     }
 }
--- a/src/main/java/terndyke/node/Rehearsal.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -22,17 +22,17 @@
  * Guards against a cold node on part of a core that answers late, is asked again for it, and so never warms; it makes
  * the start longer by its bounds at most. Nothing of it is kept.
  */
-final class Rehearsal {
-    private static final int ROUNDS = 400;
-    private static final int ROUNDS_A_STRETCH = 20;
-    private static final long GIVE_WAY = 100_000; // nanoseconds
+final class WarmUp {
+    private static final int MAX_ITERATIONS = 400;
+    private static final int ITERATIONS_PER_YIELD = 20;
+    private static final long YIELD_NANOS = 100_000; // nanoseconds
     private static final float[] NO_REPORT = new float[0];
 
-    private Rehearsal() { }
+    private WarmUp() { }
 
     /** A dispatcher of its own takes and delivers records that nobody handed in. */
-    static void decide(Charter charter, long within) {
-        decide(charter, within, () -> LockSupport.parkNanos(GIVE_WAY));
+    static void warmUpDispatcher(NodeConfiguration charter, long within) {
+        warmUpDispatcher(charter, within, () -> LockSupport.parkNanos(YIELD_NANOS));
     }
 
     /**
@@ -40,20 +40,20 @@
      * time for which a node neither waited nor ended, 150 ms of a core, and a hundred of them on one core stood still
      * for everybody else, watchers of hung processes among them. It costs some milliseconds of the start.
      */
-    static void decide(Charter charter, long within, Runnable giveWay) {
+    static void warmUpDispatcher(NodeConfiguration charter, long within, Runnable giveWay) {
         long until = System.nanoTime() + within * 1000;
-        Dispatcher dispatcher = new Dispatcher(charter.terms());
+        Dispatcher dispatcher = new Dispatcher(charter.deliverySettings());
         List<Event> events = new ArrayList<>();
         List<ListedEndpoint> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             list.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
         }
         events.add(new Event.ListReceived(list, true));
-        for (int i = 1; i <= ROUNDS && System.nanoTime() < until; i++) {
-            if (i % ROUNDS_A_STRETCH == 0) {
+        for (int i = 1; i <= MAX_ITERATIONS && System.nanoTime() < until; i++) {
+            if (i % ITERATIONS_PER_YIELD == 0) {
                 giveWay.run();
             }
-            events.add(new Event.RecordAccepted(i, i % charter.terms().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
+            events.add(new Event.RecordAccepted(i, i % charter.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
                     false, false));
             events.add(new Event.TimerExpired(0));
             List<Action> actions = dispatcher.handleEvents(i * 10_000L, events);
@@ -69,7 +69,7 @@
     }
 
     /** The node asks itself for its health, which it answers as it does anybody. */
-    static void talk(Charter charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
+    static void warmUpHttp(NodeConfiguration charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
         BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
         BlockingQueue<Calls.Line> free = new LinkedBlockingQueue<>();
         Calls calls = new Calls(reactor, charter.limits(), new Counters(), clock::now, free::add);
@@ -77,7 +77,7 @@
         Call call = new Call("GET", "/_health", new String[] {"Host", peer.host()}, new byte[0]);
         long until = System.nanoTime() + within * 1000;
         try {
-            for (int i = 0; i < ROUNDS && System.nanoTime() < until; i++) {
+            for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < until; i++) {
                 Calls.Line line = calls.start(peer, call, clock.now(), results::add);
                 if (line == null || results.poll(within, TimeUnit.MICROSECONDS) == null) {
                     break;
--- a/src/main/java/terndyke/node/discovery/Watch.java
+++ b/src/main/java/terndyke/node/discovery/Watch.java
@@ -92,13 +92,13 @@
      * rests between calls, so each is short: together they keep within what a told change allows.
      */
     private long patience() {
-        int times = onRequest ? 1 : Math.max(1, Math.min(limits.patientBreaks(), breaks));
-        return (long) (limits.unanswered() * (times - (times > 1 ? chance.nextDouble() / 2 : 0)));
+        int times = onRequest ? 1 : Math.max(1, Math.min(limits.maxWatchTimeoutMultiplier(), breaks));
+        return (long) (limits.responseTimeoutMicros() * (times - (times > 1 ? chance.nextDouble() / 2 : 0)));
     }
 
     /** How long to rest after an answer that is no list. */
     private long rest() {
-        return (long) (Math.min(limits.unanswered(), limits.resend() << Math.min(breaks, 10) - 1) * (0.5 + chance.nextDouble()));
+        return (long) (Math.min(limits.responseTimeoutMicros(), limits.retryDelayMicros() << Math.min(breaks, 10) - 1) * (0.5 + chance.nextDouble()));
     }
 
     /** Asks for the list from now on, where it comes on request: who decides when is the module. */
@@ -130,12 +130,12 @@
 
     private void start(long now) {
         String path = "/catalog/members" + (afresh ? ""
-                : "?after=" + catalogue.version() + "&wait_ms=" + limits.watchWait() / 1000);
+                : "?after=" + catalogue.version() + "&wait_ms=" + limits.watchWaitMicros() / 1000);
         long sent = ++round;
         line = calls.start(discovery, new Call("GET", path, new String[] {"Host", discovery.host()}, NOTHING),
                 now, result -> whenAnswered.accept(sent, result));
         out = line != null;
-        dueAt = now + (!out ? limits.resend() : afresh ? patience() : limits.watchWait() + limits.watchSlack());
+        dueAt = now + (!out ? limits.retryDelayMicros() : afresh ? patience() : limits.watchWaitMicros() + limits.watchSlackMicros());
     }
 
     /** Takes in an answer; returns what it tells, or null where it cannot be read. */
@@ -157,7 +157,7 @@
             tried = true;
             breaks = 0;
             afresh = !unread.isEmpty(); // what could not be read is asked for again
-            dueAt = afresh ? now + limits.resend() : now;
+            dueAt = afresh ? now + limits.retryDelayMicros() : now;
             told(true, "discovery answers again");
             return list;
         } catch (IOException e) {
--- a/src/main/java/terndyke/node/http/Calls.java
+++ b/src/main/java/terndyke/node/http/Calls.java
@@ -40,7 +40,7 @@
 
 import terndyke.api.Ending;
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 
 /**
@@ -224,7 +224,7 @@
     public Line start(Peer peer, Call call, long now, Call.Sink sink) {
         Deque<Line> free = idle.getOrDefault(peer, new ArrayDeque<>(0));
         for (Line line = rested(free, now); line != null; line = rested(free, now)) {
-            if (line.usable() && now - line.idleSince < limits.idleClose()) {
+            if (line.usable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
                 line.firstCall = false; // read on the I/O thread only after the exchange below is
                 line.exchange = new Exchange(line, call, now, sink);
                 line.session.enqueue(line.exchange.command(), Command.Priority.NORMAL);
@@ -233,16 +233,16 @@
             }
             drop(line);
         }
-        if (open >= limits.endpointConnections() && !peer.always && !dropOldest()) {
+        if (open >= limits.maxEndpointConnections() && !peer.always && !dropOldest()) {
             return null;
         }
         Line line = new Line(peer);
         line.exchange = new Exchange(line, call, now, sink);
         busy.add(line);
         open++;
-        counters.add(Count.CONNECTIONS_OPENED);
+        counters.add(Counter.CONNECTIONS_OPENED);
         Exchange exchange = line.exchange;
-        line.coming = reactor.connect(peer.address, limits.connectTimeout(), line, new FutureCallback<>() {
+        line.coming = reactor.connect(peer.address, limits.connectTimeoutMicros(), line, new FutureCallback<>() {
             @Override
             public void completed(IOSession session) {
                 session.enqueue(exchange.command(), Command.Priority.NORMAL);
@@ -267,7 +267,7 @@
     private Line rested(Deque<Line> free, long now) {
         for (Iterator<Line> last = free.descendingIterator(); last.hasNext();) {
             Line line = last.next();
-            if (now - line.idleSince >= limits.lineRest()) {
+            if (now - line.idleSince >= limits.connectionReuseDelayMicros()) {
                 last.remove();
                 return line;
             }
@@ -288,7 +288,7 @@
     /** Takes back a line whose call is over, for the next call where it is still open. */
     public void free(Line line, long now) {
         busy.remove(line);
-        if (line.usable() && !line.dropped && !line.last && !line.peer.gone && limits.idleClose() > 0) {
+        if (line.usable() && !line.dropped && !line.last && !line.peer.gone && limits.idleConnectionTimeoutMicros() > 0) {
             line.idleSince = now;
             line.exchange = null;
             idle.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
@@ -329,7 +329,7 @@
     public void sweep(long now) {
         for (Iterator<Deque<Line>> all = idle.values().iterator(); all.hasNext();) {
             Deque<Line> free = all.next();
-            while (!free.isEmpty() && (now - free.peekFirst().idleSince >= limits.idleClose()
+            while (!free.isEmpty() && (now - free.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
                     || !free.peekFirst().usable())) {
                 drop(free.pollFirst());
             }
@@ -418,10 +418,10 @@
         private void count(AnswerFlaw how) {
             switch (how) {
                 case NONE -> { }
-                case MISSING -> counters.add(Count.ANSWERS_MISSING);
-                case CUT_IN_FIRST_LINE, CUT_IN_HEAD, CUT_IN_BODY -> counters.add(Count.ANSWERS_CUT);
-                case UNREADABLE -> counters.add(Count.ANSWERS_UNREADABLE);
-                case STALLED -> counters.add(Count.ANSWERS_STALLED);
+                case MISSING -> counters.add(Counter.ANSWERS_MISSING);
+                case CUT_IN_FIRST_LINE, CUT_IN_HEAD, CUT_IN_BODY -> counters.add(Counter.ANSWERS_CUT);
+                case UNREADABLE -> counters.add(Counter.ANSWERS_UNREADABLE);
+                case STALLED -> counters.add(Counter.ANSWERS_STALLED);
             }
         }
 
@@ -444,7 +444,7 @@
         /** A part of the answer has come: its rest has to come in time, however it trickles. */
         void looked() {
             long now = System.nanoTime() / 1000;
-            due = due == 0 ? now + limits.restOfAnswer() : due;
+            due = due == 0 ? now + limits.responseReadTimeoutMicros() : due;
             if (head == null && done()) {
                 end(new Call.Result(status, null, 0, false, null, null));
             }
@@ -513,7 +513,7 @@
 
         @Override
         public void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
-            if (++informed > limits.headers()) {
+            if (++informed > limits.maxHeaders()) {
                 throw new HttpException("an answer only announced");
             }
         }
@@ -527,9 +527,9 @@
             if (done()) {
                 end(result(null));
             } else if (response.getCode() == 200) {
-                answer = ByteBuffer.allocate(limits.bufferBytes());
+                answer = ByteBuffer.allocate(limits.ioBufferBytes());
             }
-            int most = answer == null ? limits.bodyBytes() : limits.answerBytes();
+            int most = answer == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
             if (entity != null && entity.getContentLength() > most) {
                 throw new IOException("answer is too large");
             }
@@ -571,13 +571,13 @@
             if (answer != null && !ended) {
                 if (answer.remaining() < source.remaining()) {
                     int grown = Math.max(2 * answer.capacity(), answer.position() + source.remaining());
-                    if (grown > limits.answerBytes()) {
+                    if (grown > limits.maxResponseBytes()) {
                         throw new IOException("answer is too large");
                     }
                     answer = ByteBuffer.allocate(grown).put(answer.flip());
                 }
                 answer.put(source);
-            } else if ((passedOver += source.remaining()) > limits.bodyBytes()) {
+            } else if ((passedOver += source.remaining()) > limits.maxBodyBytes()) {
                 throw new IOException("answer does not end");
             } else {
                 source.position(source.limit());
--- a/src/main/java/terndyke/node/http/Door.java
+++ b/src/main/java/terndyke/node/http/Door.java
@@ -24,7 +24,7 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 
 /** The clients' door: decodes each request once and hands it over, or answers it where it cannot be read. */
@@ -86,7 +86,7 @@
             request = head;
             channel = responses;
             context = with;
-            if (entity != null && entity.getContentLength() > limits.bodyBytes()) {
+            if (entity != null && entity.getContentLength() > limits.maxBodyBytes()) {
                 tooLarge();
             } else if (entity == null) {
                 whole();
@@ -99,7 +99,7 @@
             if (!tooLarge) {
                 tooLarge = true;
                 body = ByteBuffer.allocate(0);
-                counters.add(Count.TOO_LARGE);
+                counters.add(Counter.TOO_LARGE);
                 send(413, 0, true, null);
             }
         }
@@ -111,13 +111,13 @@
 
         @Override
         public void consume(ByteBuffer source) {
-            if (!tooLarge && body.position() + source.remaining() > limits.bodyBytes()) {
+            if (!tooLarge && body.position() + source.remaining() > limits.maxBodyBytes()) {
                 tooLarge();
             }
             if (tooLarge) {
                 passedOver += source.remaining();
                 source.position(source.limit());
-                if (passedOver > limits.passedOver()) { // its answer has long gone out
+                if (passedOver > limits.maxDiscardedBodyBytes()) { // its answer has long gone out
                     visit.close();
                 }
             } else {
@@ -147,30 +147,30 @@
                 }
                 return;
             }
-            counters.add(Count.REQUESTS_IN);
+            counters.add(Counter.REQUESTS_IN);
             try {
                 handover = decode(path);
-                Count why = refusal();
+                Counter why = refusal();
                 if (why != null) {
-                    counters.add(Count.REFUSED_AT_DOOR);
+                    counters.add(Counter.REFUSED_AT_DOOR);
                     counters.add(why);
                     refused(0);
                 }
             } catch (IllegalArgumentException e) {
-                counters.add(Count.MALFORMED);
+                counters.add(Counter.MALFORMED);
                 send(request.getMethod().equals("POST") ? 400 : 405, 0, false, e.getMessage() + "\n");
             }
         }
 
         /** Hands the message over; why it is refused, or null where it is not. */
-        private Count refusal() {
+        private Counter refusal() {
             if (crowded) {
-                return Count.REFUSED_CROWDED;
+                return Counter.REFUSED_CROWDED;
             }
             if (visit.floods()) {
-                return Count.REFUSED_FLOODING;
+                return Counter.REFUSED_FLOODING;
             }
-            return handOver.test(handover) ? null : Count.REFUSED_INBOX_FULL;
+            return handOver.test(handover) ? null : Counter.REFUSED_INBOX_FULL;
         }
 
         private Handover decode(String path) {
@@ -185,20 +185,20 @@
                 throw new IllegalArgumentException("unknown service grade");
             }
             String id = one("Request-Id");
-            if (id == null || id.isEmpty() || id.length() > limits.idChars() || !id.chars().allMatch(Door::plain)) {
+            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars() || !id.chars().allMatch(Door::plain)) {
                 throw new IllegalArgumentException("Request-Id is missing, too long or not plain");
             }
             int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(one("Tenant"));
             if (tenant < 0) {
                 throw new IllegalArgumentException("unknown tenant");
             }
-            long remaining = number(one("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.longestRecord() / 1000);
+            long remaining = number(one("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.maxRecordTimeoutMicros() / 1000);
             String consignee = one("X-Consignee");
             String dest = consignee == null ? null : field(consignee, "dest", ",|;|\\s");
             long destination = number(dest, "X-Consignee", 1 << 24);
             String retry = one("Client-Retry");
             String mark = one("Idempotency-Key");
-            if (mark != null && (mark.length() > limits.idChars() || !mark.chars().allMatch(Door::plain))) {
+            if (mark != null && (mark.length() > limits.maxIdChars() || !mark.chars().allMatch(Door::plain))) {
                 throw new IllegalArgumentException("Idempotency-Key is too long or not plain");
             }
             byte[] content = new byte[body.flip().remaining()];
--- a/src/main/java/terndyke/node/http/Reactor.java
+++ b/src/main/java/terndyke/node/http/Reactor.java
@@ -46,7 +46,7 @@
 import org.apache.hc.core5.util.Timeout;
 
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 
@@ -76,9 +76,9 @@
         answers = new DefaultHttpResponseWriterFactory(http);
         calls = new DefaultHttpRequestWriterFactory(http);
         IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
-                .setSelectInterval(TimeValue.ofMicroseconds(limits.selectEvery()))
-                .setBacklogSize(limits.backlog()).build();
-        places = new Semaphore(limits.clientConnections() + limits.spareConnections() + limits.comingConnections());
+                .setSelectInterval(TimeValue.ofMicroseconds(limits.selectIntervalMicros()))
+                .setBacklogSize(limits.listenBacklog()).build();
+        places = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxPendingConnections());
         reactor = new DefaultListeningIOReactor(this::handler, io, work -> thread(work, "terndyke-io"), work -> {
             acceptor = thread(work, "terndyke-accept");
             return acceptor;
@@ -93,8 +93,8 @@
     private int takePlace() {
         try {
             while (Thread.currentThread() == acceptor && !closing
-                    && !places.tryAcquire(limits.selectEvery(), TimeUnit.MICROSECONDS)) {
-                counters.add(Count.ACCEPTS_HELD);
+                    && !places.tryAcquire(limits.selectIntervalMicros(), TimeUnit.MICROSECONDS)) {
+                counters.add(Counter.ACCEPTS_HELD);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -103,8 +103,8 @@
     }
 
     private static Http1Config http(Limits limits) {
-        return Http1Config.custom().setBufferSize(limits.bufferBytes()).setMaxLineLength(limits.lineBytes())
-                .setMaxHeaderCount(limits.headers()).setInitialWindowSize(limits.bodyBytes()).build();
+        return Http1Config.custom().setBufferSize(limits.ioBufferBytes()).setMaxLineLength(limits.maxHeaderLineBytes())
+                .setMaxHeaderCount(limits.maxHeaders()).setInitialWindowSize(limits.maxBodyBytes()).build();
     }
 
     private static Thread thread(Runnable work, String name) {
@@ -223,10 +223,10 @@
     }
 
     private IOEventHandler client(ProtocolIOSession session) {
-        counters.add(Count.CLIENT_CONNECTIONS);
+        counters.add(Counter.CLIENT_CONNECTIONS);
         Visits.Visit visit = visits.come(session);
         if (visit == null) {
-            counters.add(Count.TURNED_OUT);
+            counters.add(Counter.TURNED_OUT);
             return new Stranger();
         }
         Http1StreamListener whenAnswered = new Http1StreamListener() {
@@ -279,7 +279,7 @@
         this.door = door;
         Future<ListenerEndpoint> listening = reactor.listen(address, DOOR, null);
         try {
-            listening.get(limits.startWithin(), TimeUnit.MICROSECONDS);
+            listening.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -313,7 +313,7 @@
     public void close() throws InterruptedException {
         closing = true;
         reactor.initiateShutdown();
-        reactor.awaitShutdown(TimeValue.ofMicroseconds(limits.closeWithin()));
+        reactor.awaitShutdown(TimeValue.ofMicroseconds(limits.closeTimeoutMicros()));
         reactor.close(CloseMode.IMMEDIATE);
     }
 }
--- a/src/main/java/terndyke/node/http/Visits.java
+++ b/src/main/java/terndyke/node/http/Visits.java
@@ -34,12 +34,12 @@
     /** Lets a client in, in the place of one that stands idle where all are taken; null where there is no place. */
     Visit come(IOSession session) {
         countAnsweredElsewhere();
-        int most = limits.clientConnections() + limits.spareConnections();
-        if (open >= limits.clientConnections()) {
-            makeRoom(limits.silentAtLeast());
+        int most = limits.maxClientConnections() + limits.maxExcessClientConnections();
+        if (open >= limits.maxClientConnections()) {
+            makeRoom(limits.silentClientEvictionMicros());
         }
         if (open >= most) {
-            makeRoom(limits.silentAtLeast() / 10); // had more time to say something than who comes now
+            makeRoom(limits.silentClientEvictionMicros() / 10); // had more time to say something than who comes now
         }
         if (open >= most) {
             return null;
@@ -52,7 +52,7 @@
 
     /** True while more clients are connected than are served; those in excess are refused and let go. */
     boolean crowded() {
-        return open > limits.clientConnections();
+        return open > limits.maxClientConnections();
     }
 
     private void countAnsweredElsewhere() {
@@ -66,7 +66,7 @@
         Visit first = null;
         for (Visit visit : quiet) {
             long rested = now - visit.since;
-            if (rested >= limits.idleAtLeast() || !visit.asked && rested >= silentAtLeast) {
+            if (rested >= limits.idleClientEvictionMicros() || !visit.asked && rested >= silentAtLeast) {
                 first = visit;
                 break;
             }
@@ -95,7 +95,7 @@
         private void rest() {
             since = clock.getAsLong();
             quiet.add(this);
-            session.setSocketTimeout(Timeout.ofMicroseconds(asked ? limits.clientIdle() : limits.silentFor()));
+            session.setSocketTimeout(Timeout.ofMicroseconds(asked ? limits.idleClientTimeoutMicros() : limits.silentClientTimeoutMicros()));
         }
 
         /** Bytes have come in. The request that they belong to has to be whole in time, however it trickles. */
@@ -105,7 +105,7 @@
             quiet.remove(this);
             since = reading ? since : now;
             reading = true;
-            long due = Math.min(since + limits.halfRequest(), asked ? Long.MAX_VALUE : came + limits.firstRequest());
+            long due = Math.min(since + limits.requestReadTimeoutMicros(), asked ? Long.MAX_VALUE : came + limits.firstRequestTimeoutMicros());
             if (due <= now) {
                 close();
             } else {
@@ -149,7 +149,7 @@
 
         /** More requests wait on this connection than a client has reason for. */
         boolean floods() {
-            return unanswered > limits.requestsWaiting();
+            return unanswered > limits.maxPipelinedRequests();
         }
 
         /** A request has its answer; from any thread, and counted on the one that owns the connections. */
--- a/src/main/java/terndyke/node/stage/Admit.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -1,29 +1,29 @@
 package terndyke.node.stage;
 
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.discovery.Catalogue;
 import terndyke.node.http.Handover;
 
 /** Second stage: what cannot be taken on is answered here, before anything is booked or decided. */
-public final class Admit {
+public final class AdmissionStage {
     private final Limits limits;
     private final Counters counters;
-    private final Catalogue catalogue;
-    private final Book book;
-    private boolean leaving;
+    private final Catalogue endpointRegistry;
+    private final RecordStore recordStore;
+    private boolean shuttingDown;
 
-    public Admit(Limits limits, Counters counters, Catalogue catalogue, Book book) {
+    public AdmissionStage(Limits limits, Counters counters, Catalogue catalogue, RecordStore book) {
         this.limits = limits;
         this.counters = counters;
-        this.catalogue = catalogue;
-        this.book = book;
+        this.endpointRegistry = catalogue;
+        this.recordStore = book;
     }
 
     /** From now on nothing new is taken on. */
-    void leave() {
-        leaving = true;
+    void beginShutdown() {
+        shuttingDown = true;
     }
 
     /**
@@ -33,23 +33,23 @@
      * overtaken by the later ones of its key (rules 1 and 5). It may turn away a client that alters what it repeats.
      */
     boolean admit(Handover handover, long now) {
-        Owed known = book.byId(handover.id());
+        TrackedRecord known = recordStore.findById(handover.id());
         if (known != null) {
-            counters.add(Count.REPEATS);
-            if (known.holds(handover)) {
-                repeat(known, handover.answer());
+            counters.add(Counter.REPEATS);
+            if (known.isSameRecord(handover)) {
+                answerDuplicate(known, handover.answer());
             } else { // another record under an id that is taken: it may come again under its own
                 handover.answer().refused(0);
             }
-        } else if (!catalogue.knows(handover.destination())) {
-            counters.add(Count.MALFORMED);
+        } else if (!endpointRegistry.knows(handover.destination())) {
+            counters.add(Counter.MALFORMED);
             handover.answer().failed(400);
         } else {
-            Count why = refusal(handover, now);
+            Counter why = refusalReason(handover, now);
             if (why == null) {
                 return true;
             }
-            counters.add(Count.REFUSED_AT_DOOR);
+            counters.add(Counter.REFUSED_AT_DOOR);
             counters.add(why);
             handover.answer().refused(0);
         }
@@ -57,24 +57,24 @@
     }
 
     /** Why a message that could be taken on is not, or null. */
-    private Count refusal(Handover handover, long now) {
-        if (leaving) {
-            return Count.REFUSED_LEAVING;
+    private Counter refusalReason(Handover handover, long now) {
+        if (shuttingDown) {
+            return Counter.REFUSED_LEAVING;
         }
-        if (now - handover.readAt() > limits.answerWithin()) {
-            return Count.REFUSED_READ_LATE;
+        if (now - handover.readAt() > limits.maxAdmissionDelayMicros()) {
+            return Counter.REFUSED_READ_LATE;
         }
-        return book.held() >= limits.records() || !book.roomFor(handover.body().length) ? Count.REFUSED_NO_ROOM : null;
+        return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length) ? Counter.REFUSED_NO_ROOM : null;
     }
 
     /** A record that is held or was delivered is not taken on twice; one that was handed back may come again. */
-    private static void repeat(Owed known, Handover.Answer answer) {
-        if (known.end == null) {
+    private static void answerDuplicate(TrackedRecord known, Handover.Answer answer) {
+        if (known.outcome == null) {
             answer.taken();
         } else {
-            switch (known.end) {
+            switch (known.outcome) {
                 case DONE -> answer.delivered();
-                case BOUNCED, WITHDRAWN -> answer.refused(known.wait);
+                case BOUNCED, WITHDRAWN -> answer.refused(known.retryAfterMicros);
                 default -> answer.failed(500);
             }
         }
--- /dev/null
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -0,0 +1,405 @@
+package terndyke.node.stage;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+import terndyke.api.Action;
+import terndyke.api.Event;
+import terndyke.decision.Dispatcher;
+import terndyke.node.NodeConfiguration;
+import terndyke.node.Counters;
+import terndyke.node.Counters.Counter;
+import terndyke.node.Limits;
+import terndyke.node.NodeClock;
+import terndyke.node.NodeLog;
+import terndyke.node.SlowTurnDetector;
+import terndyke.node.SlowTurnDetector.Phase;
+import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.Watch;
+import terndyke.node.http.Calls;
+import terndyke.node.http.Handover;
+import terndyke.node.http.Reactor;
+import terndyke.node.journal.Entry;
+
+/** The decision thread: owns the dispatcher and all records, and passes each through the stages in order. */
+public final class DecisionLoop implements Runnable {
+    private final Limits limits;
+    private final Counters counters;
+    private final NodeLog log;
+    private final NodeClock clock;
+    private final LinkedBlockingQueue<LoopEvent> eventQueue;
+    private final AtomicInteger queuedRecordCount = new AtomicInteger();
+    private final TimerQueue timers = new TimerQueue();
+    private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // taken in this turn
+    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // of which the module is still to hear
+    private final List<Handover> deferredRequests = new ArrayList<>(); // handed in before the first turn of the module
+    private final IntakeStage intakeStage;
+    private final AdmissionStage admissionStage;
+    private final DecisionStage decisionStage;
+    private final SendStage sendStage;
+    private final NotificationStage notificationStage;
+    private final RecordStore recordStore;
+    private final Calls connectionPool;
+    private final Catalogue endpointRegistry;
+    private final Watch watch;
+    private final SlowTurnDetector slowTurnDetector;
+    private final long keyQuietMicros;
+    private final int gradeCount;
+    private long nextSweepAt;
+    private long shutdownDeadline = Long.MAX_VALUE;
+    private final CountDownLatch discoveryResolved = new CountDownLatch(1); // what discovery has to tell is known, or it is silent
+    private final CountDownLatch firstTurnDone = new CountDownLatch(1); // and the module has had its first turn with it
+    private volatile boolean finished; // no more turns
+    private volatile boolean stopped; // not even where a turn takes too long
+    private volatile boolean queueClosed; // nothing more is taken from the inbox
+
+    public DecisionLoop(NodeConfiguration charter, Reactor reactor, Catalogue catalogue, RecordStore book, NodeClock clock, Counters counters,
+            NodeLog log) {
+        this(charter, reactor, catalogue, book, clock, counters, log, new LinkedBlockingQueue<>());
+    }
+
+    DecisionLoop(NodeConfiguration charter, Reactor reactor, Catalogue catalogue, RecordStore book, NodeClock clock, Counters counters,
+            NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
+        this.eventQueue = inbox;
+        this.limits = charter.limits();
+        this.counters = counters;
+        this.log = log;
+        this.clock = clock;
+        this.recordStore = book;
+        this.endpointRegistry = catalogue;
+        this.keyQuietMicros = charter.deliverySettings().keyQuietPeriod();
+        this.gradeCount = charter.deliverySettings().grades().size();
+        slowTurnDetector = new SlowTurnDetector(limits.slowTurnThresholdMicros(), limits.slowTurnLogIntervalMicros(), counters);
+        connectionPool = new Calls(reactor, limits, counters, clock::now, line -> post(new LoopEvent.ConnectionReleased(line)));
+        decisionStage = new DecisionStage(new Dispatcher(charter.deliverySettings()));
+        intakeStage = new IntakeStage(book.lastRecordNumber());
+        admissionStage = new AdmissionStage(limits, counters, catalogue, book);
+        sendStage = new SendStage(limits, counters, catalogue, connectionPool, decisionStage, book, timers, charter.reportFields(), log, this);
+        notificationStage = new NotificationStage(limits, counters, charter.discoveryAddress(), connectionPool, decisionStage, book, timers, log, this);
+        watch = new Watch(limits, charter.discoveryAddress(), catalogue, connectionPool, log, charter.deliverySettings().listOnRequest(),
+                new Random(charter.deliverySettings().seed()), (round, result) -> post(new LoopEvent.WatchCompleted(round, result)));
+    }
+
+    public long now() {
+        return clock.now();
+    }
+
+    /**
+     * Hands a record over from the I/O thread; false where too many wait already, or the desk takes no more. One that
+     * comes while the desk ends is either seen by its last look or taken back here, so that it has one answer.
+     */
+    public boolean offerRequest(Handover handover) {
+        if (finished || stopped || queuedRecordCount.get() >= limits.requestQueueCapacity()) {
+            return false;
+        }
+        LoopEvent word = new LoopEvent.RequestReceived(handover);
+        queuedRecordCount.incrementAndGet();
+        eventQueue.add(word);
+        return !queueClosed || !eventQueue.remove(word);
+    }
+
+    /** No more is taken in, though the desk's last turn may take long. */
+    public void stop() {
+        stopped = true;
+    }
+
+    /** Waits until what discovery has to tell is known, or it is silent, and the last life's records have been decided on. */
+    public void awaitFirstTurn(long micros) throws InterruptedException {
+        firstTurnDone.await(micros, TimeUnit.MICROSECONDS);
+    }
+
+    /** Tells the decision thread something; calls and probes that are out bound how much of this can wait. */
+    public void post(LoopEvent word) {
+        eventQueue.add(word);
+    }
+
+    /**
+     * The list as it was last held, and what the last life owed, before the thread starts. The list may be old, and what
+     * discovery has counts as told: the first turn of the module waits until it has been asked.
+     */
+    public void restore(Event.ListReceived known, Collection<TrackedRecord> records) {
+        decisionStage.addEvent(known);
+        for (TrackedRecord owed : List.copyOf(records)) {
+            counters.add(Counter.RESTORED, owed.noticeSettled ? 0 : 1);
+            if (owed.entry.grade() >= gradeCount) {
+                log.warn("journal: a record of an unknown service grade, ended without its delivery");
+                notificationStage.endRecord(owed, Entry.End.TERMINATED, 0);
+                continue;
+            }
+            recoveredRecords.add(owed);
+            if (!owed.isOpen()) {
+                notificationStage.restore(owed);
+            }
+        }
+        notificationStage.sendPendingNotices(now());
+    }
+
+    /** The module hears of records by the time that is left, so it hears of them only in the turn that it acts in. */
+    private void beginOnceDiscoveryResolved(long now) {
+        if (isDiscoveryResolved() || !watch.tried()) {
+            return;
+        }
+        recoveredRecords.forEach(owed -> sendStage.restore(owed, now));
+        recoveredRecords.clear();
+        deferredRequests.forEach(handover -> handleClientRequest(handover, now));
+        deferredRequests.clear();
+        discoveryResolved.countDown();
+    }
+
+    @Override
+    public void run() {
+        while (!finished && !stopped) {
+            try {
+                runTurn();
+            } catch (InterruptedException e) {
+                return;
+            } catch (Exception | OutOfMemoryError e) {
+                log.warn("decision thread", e);
+                refuseNewRecords();
+            }
+        }
+        refuseRemaining();
+    }
+
+    /**
+     * Whoever was read in the last moments is refused too, before the connections close: nobody is left unanswered. What
+     * has ended by now is booked, so that the next life does not send it again.
+     */
+    private void refuseRemaining() {
+        refuseNewRecords();
+        deferredRequests.forEach(handover -> handover.answer().refused(0));
+        try {
+            for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
+                handleAtShutdown(word);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        queueClosed = true;
+        for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll()) {
+            handleAtShutdown(word);
+        }
+        connectionPool.close();
+    }
+
+    private void handleAtShutdown(LoopEvent word) {
+        if (word instanceof LoopEvent.RequestReceived handed) {
+            counters.add(Counter.REFUSED_AT_DOOR);
+            handed.clientRequest().answer().refused(0);
+        } else if (word instanceof LoopEvent.ShotCompleted shot) {
+            sendStage.handleResult(shot);
+        }
+    }
+
+    private void runTurn() throws InterruptedException {
+        long now = now();
+        long next = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
+        beginOnceDiscoveryResolved(now);
+        LoopEvent word = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0 : Math.max(0, next - now), TimeUnit.MICROSECONDS);
+        now = now();
+        slowTurnDetector.beginTurn(now);
+        int words = 0;
+        while (word != null) {
+            handleEvent(word, now);
+            word = words++ < limits.maxEventsPerTurn() ? eventQueue.poll() : null;
+        }
+        slowTurnDetector.endEventPhase(words, now());
+        timers.runDue(now);
+        slowTurnDetector.endPhase(Phase.TIMERS, now());
+        watch.keep(now);
+        if (watch.failed()) {
+            decisionStage.addEvent(new Event.ListRequestFailed());
+        }
+        beginOnceDiscoveryResolved(now);
+        if (isDiscoveryResolved()) {
+            performActions(now);
+            firstTurnDone.countDown();
+        } else {
+            notificationStage.sendPendingNotices(now);
+        }
+        if (now >= nextSweepAt) {
+            nextSweepAt = now + limits.sweepIntervalMicros();
+            connectionPool.sweep(now);
+            endpointRegistry.forget(now - limits.goneEndpointRetentionMicros(), limits.maxGoneEndpoints());
+            recordStore.evictEnded(now, Math.max(keyQuietMicros, limits.endedRecordRetentionMicros()));
+            recordStore.compactIfNeeded();
+            slowTurnDetector.endPhase(Phase.SWEEP, now());
+        }
+        String slow = slowTurnDetector.endTurn(now());
+        if (slow != null) {
+            log.warn(slow);
+        }
+        // not at once where nothing is held: clients that do not know yet still come, and are owed an answer
+        finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0 && !notificationStage.hasPendingNotices()
+                && now >= shutdownDeadline - limits.shutdownGracePeriodMicros() + limits.minShutdownMicros();
+    }
+
+    private void handleEvent(LoopEvent word, long now) {
+        if (word instanceof LoopEvent.RequestReceived handed) {
+            queuedRecordCount.decrementAndGet();
+            slowTurnDetector.measureQueueWait(now - handed.clientRequest().readAt());
+            if (isDiscoveryResolved()) {
+                handleClientRequest(handed.clientRequest(), now);
+            } else if (deferredRequests.size() < limits.requestQueueCapacity()) {
+                deferredRequests.add(handed.clientRequest());
+            } else {
+                counters.add(Counter.REFUSED_AT_DOOR);
+                handed.clientRequest().answer().refused(0);
+            }
+        } else if (word instanceof LoopEvent.ShotCompleted shot) {
+            sendStage.handleResult(shot);
+        } else if (word instanceof LoopEvent.ConnectionReleased free) {
+            connectionPool.free(free.connection(), now);
+        } else if (word instanceof LoopEvent.ProbeCompleted probe) {
+            sendStage.handleResult(probe);
+        } else if (word instanceof LoopEvent.NoticeCallCompleted noticed) {
+            notificationStage.handleNoticeResult(noticed, now);
+        } else if (word instanceof LoopEvent.WatchCompleted watched) {
+            Event told = watch.answered(watched.callNumber(), watched.result(), now);
+            if (told != null) {
+                counters.add(Counter.LISTS_TOLD);
+                log.trace(now, "list", ((Event.ListReceived) told).entries().size());
+                decisionStage.addEvent(told);
+                endpointRegistry.left().forEach(connectionPool::left);
+            }
+        } else if (word instanceof LoopEvent.DiscoveryAddressChanged moved) {
+            watch.moveTo(moved.address());
+            notificationStage.changePlatformAddress(moved.address());
+        } else if (word instanceof LoopEvent.ClientDisconnected left) {
+            handleClientDisconnect(left.clientRequest(), now);
+        } else if (word instanceof LoopEvent.ShutdownRequested) {
+            shutdownDeadline = now + limits.shutdownGracePeriodMicros();
+            admissionStage.beginShutdown();
+            decisionStage.addEvent(new Event.NodeShuttingDown(limits.shutdownGracePeriodMicros()));
+            timers.schedule(shutdownDeadline, () -> { });
+        }
+    }
+
+    /**
+     * An id that was taken in this very turn is as owed as one that is booked: the second record is refused. Where it is
+     * another record nobody knows whose id it is, and since nothing is owed yet both are refused.
+     */
+    private void handleClientRequest(Handover handover, long now) {
+        TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst().orElse(null);
+        if (same != null) {
+            counters.add(Counter.REPEATS);
+            handover.answer().refused(0);
+            if (!same.isSameRecord(handover)) {
+                newRecords.remove(same.entry.number());
+                notificationStage.answerRefused(same, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(same.entry.number()));
+            }
+        } else if (admissionStage.admit(handover, now)) {
+            TrackedRecord owed = intakeStage.createRecord(handover);
+            newRecords.put(owed.entry.number(), owed);
+            decisionStage.addEvent(toEvent(owed, now));
+        }
+    }
+
+    static Event.RecordAccepted toEvent(TrackedRecord owed, long now) {
+        Entry.Taken taken = owed.entry;
+        return new Event.RecordAccepted(taken.number(), taken.grade(), taken.tenant(), taken.key(),
+                taken.abandonAt() - now, 0, taken.destination(), owed.clientRetry, false, owed.fromDeadNode);
+    }
+
+    /**
+     * A client that left before its answer may hand the record in again under another id. One that only repeated
+     * another's id takes nothing back: the record is the one that this client handed in, or stays.
+     */
+    private void handleClientDisconnect(Handover handover, long now) {
+        TrackedRecord owed = recordStore.findById(handover.id());
+        for (TrackedRecord taken : List.copyOf(newRecords.values())) {
+            if (taken.responder == handover.answer()) {
+                newRecords.remove(taken.entry.number());
+                decisionStage.addEvent(new Event.RecordWithdrawn(taken.entry.number()));
+            }
+        }
+        if (owed != null && owed.isOpen() && owed.entry.takenAt() == handover.readAt()) {
+            counters.add(Counter.WITHDRAWN);
+            log.infoAboutRecord("message " + handover.id() + " is over: its client left before its answer");
+            recordStore.endRecord(owed, Entry.End.WITHDRAWN, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+        }
+    }
+
+    private boolean isDiscoveryResolved() {
+        return discoveryResolved.getCount() == 0;
+    }
+
+    /** One turn of the module, and all that it asks for. */
+    private void performActions(long now) {
+        while (decisionStage.hasPendingEvents()) {
+            List<Action> actions = decisionStage.runTurn(now);
+            slowTurnDetector.endPhase(Phase.MODULE, now());
+            answerNewRecords(actions);
+            for (Action action : actions) {
+                performActions(action, now);
+            }
+            slowTurnDetector.endPhase(Phase.ACTIONS, now());
+        }
+        notificationStage.sendPendingNotices(now);
+    }
+
+    /** The records of this turn: bounced at once, or booked and then answered. */
+    private void answerNewRecords(List<Action> actions) {
+        for (Action action : newRecords.isEmpty() ? List.<Action>of() : actions) {
+            if (action instanceof Action.Bounce bounce && newRecords.containsKey(bounce.id())) {
+                notificationStage.answerRefused(newRecords.remove(bounce.id()), bounce.retryAfter());
+            } else if (action instanceof Action.Terminate terminate && newRecords.containsKey(terminate.id())) {
+                notificationStage.answerFailed(newRecords.remove(terminate.id()));
+            }
+        }
+        for (TrackedRecord owed : newRecords.values()) {
+            if (recordStore.tryAdd(owed)) {
+                notificationStage.answerTaken(owed);
+            } else {
+                notificationStage.answerRefused(owed, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+            }
+        }
+        newRecords.clear();
+        recordStore.clearReservations();
+    }
+
+    /** What could not be decided has not been booked, so nothing is owed. */
+    private void refuseNewRecords() {
+        for (TrackedRecord owed : newRecords.values()) {
+            notificationStage.answerRefused(owed, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+        }
+        newRecords.clear();
+        recordStore.clearReservations();
+    }
+
+    private void performActions(Action action, long now) {
+        if (action instanceof Action.SendShot shoot) {
+            sendStage.sendShot(recordStore.findByNumber(shoot.id()), shoot, now);
+        } else if (action instanceof Action.Recall recall && recordStore.findByNumber(recall.id()) != null) {
+            sendStage.recallShot(recordStore.findByNumber(recall.id()), recall.shotIndex());
+        } else if (action instanceof Action.Bounce bounce && recordStore.findByNumber(bounce.id()) != null) {
+            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), Entry.End.BOUNCED, bounce.retryAfter());
+        } else if (action instanceof Action.Terminate terminate && recordStore.findByNumber(terminate.id()) != null) {
+            notificationStage.endRecord(recordStore.findByNumber(terminate.id()), Entry.End.TERMINATED, 0);
+        } else if (action instanceof Action.StartTimer wake) {
+            timers.schedule(now + wake.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(wake.token())));
+        } else if (action instanceof Action.Probe probe) {
+            sendStage.startProbe(probe.endpoint(), now);
+        } else if (action instanceof Action.CancelUnsentCalls withhold) {
+            sendStage.withhold(withhold.endpoint());
+        } else if (action instanceof Action.SetListSubscription) {
+            watch.ask(now);
+        } else if (action instanceof Action.CloseIdleConnections drop) {
+            sendStage.closeIdleConnections(drop.endpoint());
+        } else if (action instanceof Action.Log line) {
+            log.info(line.text());
+        }
+    }
+}
--- a/src/main/java/terndyke/node/stage/Route.java
+++ b/src/main/java/terndyke/node/stage/DecisionStage.java
@@ -8,25 +8,25 @@
 import terndyke.decision.Dispatcher;
 
 /** Third stage: tells the decision module what happened and hears what is to be done. */
-public final class Route {
+public final class DecisionStage {
     private final Dispatcher dispatcher;
-    private List<Event> events = new ArrayList<>();
+    private List<Event> pendingEvents = new ArrayList<>();
 
-    public Route(Dispatcher dispatcher) {
+    public DecisionStage(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
-    void tell(Event event) {
-        events.add(event);
+    void addEvent(Event event) {
+        pendingEvents.add(event);
     }
 
-    boolean due() {
-        return !events.isEmpty();
+    boolean hasPendingEvents() {
+        return !pendingEvents.isEmpty();
     }
 
-    List<Action> turn(long now) {
-        List<Event> told = events;
-        events = new ArrayList<>();
+    List<Action> runTurn(long now) {
+        List<Event> told = pendingEvents;
+        pendingEvents = new ArrayList<>();
         return dispatcher.handleEvents(now, told);
     }
 }
--- /dev/null
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -0,0 +1,262 @@
+package terndyke.node.stage;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
+
+import terndyke.api.Event;
+import terndyke.node.Counters;
+import terndyke.node.Counters.Counter;
+import terndyke.node.Limits;
+import terndyke.node.NodeLog;
+import terndyke.node.http.Call;
+import terndyke.node.http.Calls;
+import terndyke.node.http.Handover;
+import terndyke.node.journal.Entry;
+
+/** Fifth stage: answers to clients, and notices to the platform, resent until they are answered. */
+public final class NotificationStage {
+    private final Limits limits;
+    private final Counters counters;
+    private Calls.Peer platform;
+    private final Calls connectionPool;
+    private final DecisionStage decisionStage;
+    private final RecordStore recordStore;
+    private final TimerQueue timers;
+    private final NodeLog log;
+    private final DecisionLoop decisionLoop;
+    private final Set<TrackedRecord> pendingNotices = new LinkedHashSet<>();
+    private long callNumber;
+    private boolean callInFlight;
+    private int consecutiveFailures; // calls with notices, in a row
+    private int maxBatchSize = Integer.MAX_VALUE; // notices in one call at most
+    private Calls.Line connection;
+    private long retryAt;
+
+    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, Calls calls, DecisionStage route, RecordStore book,
+            TimerQueue timers, NodeLog log, DecisionLoop desk) {
+        this.limits = limits;
+        this.counters = counters;
+        this.platform = Calls.Peer.platform(platform);
+        this.connectionPool = calls;
+        this.decisionStage = route;
+        this.recordStore = book;
+        this.timers = timers;
+        this.log = log;
+        this.decisionLoop = desk;
+    }
+
+    /** Tells the client that its record is taken on; it has been booked. */
+    void answerTaken(TrackedRecord owed) {
+        counters.add(Counter.TAKEN);
+        trace("taken", owed);
+        removeResponder(owed).taken();
+    }
+
+    /** Tells the client that its record is not taken on. */
+    void answerRefused(TrackedRecord owed, long after) {
+        counters.add(Counter.BOUNCED_AT_ONCE);
+        trace("refused", owed);
+        removeResponder(owed).refused(after);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    }
+
+    /** Tells the client that its record was given up in the turn of its taking. */
+    void answerFailed(TrackedRecord owed) {
+        trace("failed", owed);
+        removeResponder(owed).failed(500);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    }
+
+    private static Handover.Answer removeResponder(TrackedRecord owed) {
+        Handover.Answer answer = owed.responder;
+        owed.responder = null;
+        return answer;
+    }
+
+    /** Books the end of a record that was taken on, and owes the platform its notice. */
+    void endRecord(TrackedRecord owed, Entry.End end, long wait) {
+        if (owed.outcome == null) {
+            recordStore.endRecord(owed, end, wait);
+            counters.add(end == Entry.End.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
+            owed.endedAt = decisionLoop.now();
+            pendingNotices.add(owed);
+            trace(end == Entry.End.BOUNCED ? "bounced" : "terminated", owed);
+            if (end != Entry.End.BOUNCED || !owed.shots.isEmpty()) {
+                log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
+                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its time, attempts: " + describeShots(owed));
+            }
+        }
+    }
+
+    private static String describeShots(TrackedRecord owed) {
+        return owed.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "out" : shot.ending))
+                .collect(Collectors.joining(", "));
+    }
+
+    private void trace(String verb, TrackedRecord owed) {
+        if (log.isTracing()) {
+            Entry.Taken taken = owed.entry;
+            log.trace(decisionLoop.now(), verb, taken.number(), taken.id(), taken.grade(), taken.destination(),
+                    taken.abandonAt() - decisionLoop.now(), owed.shots.size());
+        }
+    }
+
+    /** Owes again what the last life had not told, or lets the module know that it was told. */
+    void restore(TrackedRecord owed) {
+        if (owed.noticeSettled) {
+            decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+        } else {
+            owed.endedAt = decisionLoop.now();
+            pendingNotices.add(owed);
+        }
+    }
+
+    boolean hasPendingNotices() {
+        return !pendingNotices.isEmpty();
+    }
+
+    /**
+     * Sends what is owed, as many notices in one call as a body holds and one call at a time. Guards against a node that
+     * is back with hundreds of ends to tell and little CPU: each call takes it a tenth of a second and more, and at 64
+     * notices a call the last ones came too late. Where one of many cannot be read, halves are sent until it stands alone.
+     */
+    void sendPendingNotices(long now) {
+        if (callInFlight || pendingNotices.isEmpty() || now < retryAt) {
+            return;
+        }
+        StringBuilder lines = new StringBuilder();
+        List<TrackedRecord> batch = nextBatch(pendingNotices, maxBatchSize, limits.maxBodyBytes(), lines);
+        byte[] body = lines.toString().getBytes(StandardCharsets.UTF_8);
+        Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.host(),
+            "Content-Type", "application/json", "Content-Length", Integer.toString(body.length)}, body);
+        long sent = ++callNumber;
+        connection = connectionPool.start(platform, call, now, result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
+        callInFlight = connection != null;
+        counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
+        if (!callInFlight) {
+            handleCallFailure("no socket", now, retryDelay());
+            return;
+        }
+        timers.schedule(now + callTimeout(), () -> {
+            if (callInFlight && callNumber == sent) {
+                connectionPool.cancel(connection);
+                handleCallFailure("silence", decisionLoop.now(), 0);
+            }
+        });
+    }
+
+    /**
+     * How long a call may take. A message is given up shortly before its time, so two calls are tried within what a client is
+     * owed behind it; later ones get longer, for a platform that is slow and a node that has many ends to tell.
+     */
+    private long callTimeout() {
+        return Math.min(limits.responseTimeoutMicros(), limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
+    }
+
+    /** How long to wait after a call that failed at once, which silence has already cost. */
+    private long retryDelay() {
+        return Math.min(limits.retryDelayMicros(), limits.noticeRetryDelayMicros() << Math.min(10, consecutiveFailures));
+    }
+
+    /** The first ones whose lines fit into so many bytes, one at least and so many at most. */
+    static List<TrackedRecord> nextBatch(Collection<TrackedRecord> owing, int most, int bytes, StringBuilder lines) {
+        List<TrackedRecord> batch = new ArrayList<>();
+        for (TrackedRecord owed : owing) {
+            String line = formatNotice(owed) + "\n";
+            if (!batch.isEmpty() && (batch.size() == most || lines.length() + line.length() > bytes)) {
+                break;
+            }
+            lines.append(line);
+            batch.add(owed);
+        }
+        return batch;
+    }
+
+    /** From now on notices go to another address; those not yet answered go there again. */
+    void changePlatformAddress(InetSocketAddress address) {
+        if (!address.equals(platform.address())) {
+            if (callInFlight) {
+                connectionPool.cancel(connection);
+                callInFlight = false;
+                callNumber++;
+            }
+            connectionPool.left(platform);
+            platform = Calls.Peer.platform(address);
+            consecutiveFailures = 0;
+            retryAt = 0;
+        }
+    }
+
+    /** The next call goes on a connection of its own: a kept one that lost a call would lose the next one too. */
+    private void handleCallFailure(String why, long now, long rest) {
+        counters.add(Counter.NOTICES_UNANSWERED);
+        if (consecutiveFailures++ == 0) {
+            log.warn("notices unanswered: " + pendingNotices.size() + " owed, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
+        }
+        connectionPool.dropIdle(platform);
+        callInFlight = false;
+        callNumber++;
+        retryAt = now + rest;
+        timers.schedule(retryAt, () -> { });
+    }
+
+    static String formatNotice(TrackedRecord owed) {
+        StringBuilder line = new StringBuilder("{\"ref\":\"");
+        for (char c : owed.entry.id().toCharArray()) {
+            if (c == '"' || c == '\\') {
+                line.append('\\').append(c);
+            } else if (c < ' ') {
+                line.append(String.format("\\u%04x", (int) c));
+            } else {
+                line.append(c);
+            }
+        }
+        line.append("\",\"result\":\"").append(owed.outcome == Entry.End.BOUNCED ? "bounced" : "dead").append('"');
+        if (owed.outcome == Entry.End.BOUNCED && owed.retryAfterMicros > 0) {
+            line.append(",\"wait_ms\":").append(owed.retryAfterMicros / 1000);
+        }
+        return line.append('}').toString();
+    }
+
+    /** Takes in the platform's answer. */
+    void handleNoticeResult(LoopEvent.NoticeCallCompleted noticed, long now) {
+        if (!callInFlight || noticed.callNumber() != callNumber) {
+            return;
+        }
+        callInFlight = false;
+        int status = noticed.result().status();
+        if (status == 204 || status == 200) {
+            noticed.records().forEach(this::settleNotice);
+            maxBatchSize = Integer.MAX_VALUE;
+            if (consecutiveFailures > 0) {
+                consecutiveFailures = 0;
+                log.info("notices are answered again, " + pendingNotices.size() + " owed");
+            }
+        } else if (status == 400 && noticed.records().size() == 1) {
+            log.warn("notice cannot be read by the platform: " + formatNotice(noticed.records().get(0)));
+            noticed.records().forEach(this::settleNotice);
+        } else {
+            maxBatchSize = status == 400 ? Math.max(1, noticed.records().size() / 2) : maxBatchSize;
+            handleCallFailure("status " + status, now, retryDelay());
+        }
+    }
+
+    private void settleNotice(TrackedRecord owed) {
+        long now = decisionLoop.now();
+        counters.add(Counter.NOTICES_ANSWERED);
+        counters.recordMaximum(Counter.LONGEST_NOTICE, now - owed.endedAt);
+        if (now - owed.endedAt > limits.noticeDeadlineMicros()) {
+            counters.add(Counter.NOTICES_LATE);
+            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000 + " ms after its end");
+        }
+        pendingNotices.remove(owed);
+        recordStore.settleNotice(owed);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    }
+}
--- /dev/null
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -0,0 +1,288 @@
+package terndyke.node.stage;
+
+import java.util.ArrayList;
+import java.util.List;
+
+import terndyke.api.Action;
+import terndyke.api.Ending;
+import terndyke.api.Event;
+import terndyke.node.Counters;
+import terndyke.node.Counters.Counter;
+import terndyke.node.Limits;
+import terndyke.node.NodeLog;
+import terndyke.node.discovery.Catalogue;
+import terndyke.node.http.AnswerFlaw;
+import terndyke.node.http.Call;
+import terndyke.node.http.Calls;
+import terndyke.node.journal.Entry;
+
+/** Fourth stage: shots and probes as calls, and what comes back as events. */
+public final class SendStage {
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final float[] NO_REPORT = new float[0];
+
+    private final Limits limits;
+    private final Counters counters;
+    private final Catalogue endpointRegistry;
+    private final Calls connectionPool;
+    private final DecisionStage decisionStage;
+    private final RecordStore recordStore;
+    private final TimerQueue timers;
+    private final List<String> reportFields;
+    private final NodeLog log;
+    private final DecisionLoop decisionLoop;
+    private int probesInFlight;
+
+    public SendStage(Limits limits, Counters counters, Catalogue catalogue, Calls calls, DecisionStage route, RecordStore book,
+            TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
+        this.limits = limits;
+        this.counters = counters;
+        this.endpointRegistry = catalogue;
+        this.connectionPool = calls;
+        this.decisionStage = route;
+        this.recordStore = book;
+        this.timers = timers;
+        this.reportFields = reportFields;
+        this.log = log;
+        this.decisionLoop = desk;
+    }
+
+    /** Books a shot and starts its call. What cannot leave comes back as not sent. */
+    void sendShot(TrackedRecord owed, Action.SendShot shoot, long now) {
+        long endpoint = shoot.endpoint();
+        long notPast = shoot.deadline();
+        if (owed == null) {
+            decisionStage.addEvent(new Event.ShotEnded(shoot.id(), 0, endpoint, Ending.NOT_SENT, 0, 0, false, true, NO_REPORT));
+            return;
+        }
+        Catalogue.Member member = endpointRegistry.member(endpoint);
+        TrackedRecord.Shot shot = new TrackedRecord.Shot(owed.shots.size(), endpoint, member == null ? "" : member.uid(),
+                member == null ? 0 : member.zone(), now);
+        owed.shots.add(shot);
+        boolean lawful = member != null && member.destination() == owed.entry.destination() && owed.isOpen()
+                && notPast > now && shoot.startBy() > decisionLoop.now();
+        if (!lawful) {
+            complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, false, NO_REPORT);
+            return;
+        }
+        if (!recordStore.journalShot(owed, shot)) { // after a while, lest a full disk uses up all shots of a record at once
+            timers.schedule(now + limits.journalFailureDelayMicros(),
+                    () -> complete(owed, shot, endpoint, Ending.NOT_SENT, decisionLoop.now(), 0, true, NO_REPORT));
+            return;
+        }
+        counters.add(Counter.SHOTS);
+        long opened = log.isTracing() ? counters.get(Counter.CONNECTIONS_OPENED) : 0;
+        shot.connection = connectionPool.start(member.peer(), buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
+                result -> decisionLoop.post(new LoopEvent.ShotCompleted(owed, shot, endpoint, result, decisionLoop.now())));
+        if (shot.connection == null) {
+            complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, true, NO_REPORT);
+        } else {
+            timers.schedule(notPast, () -> cancelShot(owed, shot, endpoint, Ending.TIMED_OUT));
+        }
+        if (log.isTracing()) {
+            log.trace(now, "shot", owed.entry.number(), shot.number, member.uid(), member.destination(),
+                    counters.get(Counter.CONNECTIONS_OPENED) > opened ? "new" : "kept");
+        }
+    }
+
+    private static Call buildCall(TrackedRecord owed, Calls.Peer peer, long wait, long startBy) {
+        List<String> headers = new ArrayList<>(List.of("Host", peer.host(), "Request-Id", owed.entry.id()));
+        if (owed.entry.mark() != null) {
+            headers.addAll(List.of("Idempotency-Key", owed.entry.mark()));
+        }
+        headers.addAll(List.of("Request-Timeout-Ms", Long.toString(Math.max(1, wait / 1000)),
+                "Content-Length", Integer.toString(owed.entry.body().length)));
+        return new Call("POST", "/events", headers.toArray(String[]::new), owed.entry.body(), startBy);
+    }
+
+    /** Gives up one shot at the module's word. */
+    void recallShot(TrackedRecord owed, int number) {
+        if (number < owed.shots.size()) {
+            TrackedRecord.Shot shot = owed.shots.get(number);
+            cancelShot(owed, shot, shot.endpointNumber, Ending.RECALLED);
+        }
+    }
+
+    private void cancelShot(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending) {
+        if (shot.ending == null && shot.connection != null) {
+            // of a record that is over, a connection that was not up in time says nothing of the endpoint
+            boolean notConnected = connectionPool.cancel(shot.connection) && owed.isOpen();
+            Ending how = notConnected ? Ending.NOT_CONNECTED : ending;
+            if (owed.isOpen()) {
+                log.infoAboutRecord(describeShot(owed, shot, how, decisionLoop.now()));
+            }
+            complete(owed, shot, endpoint, how, decisionLoop.now(), 0, false, NO_REPORT);
+        }
+    }
+
+    /** Takes in how a call ended. */
+    void handleResult(LoopEvent.ShotCompleted over) {
+        if (over.shot().ending == null) {
+            Call.Result result = over.result();
+            Ending ending = toEnding(result);
+            if (ending == Ending.ERROR || result.ending() != null || result.flaw() != AnswerFlaw.NONE) {
+                log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt()) + ", status " + result.status()
+                        + ", answer " + result.flaw());
+            }
+            if (result.status() == 410) {
+                log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " is over: status 410");
+                recordStore.endRecord(over.trackedRecord(), Entry.End.WITHDRAWN, 0);
+            }
+            complete(over.trackedRecord(), over.shot(), over.endpointNumber(), ending, over.completedAt(),
+                    ending == Ending.FULL || ending == Ending.RESET ? result.waitTold() : 0,
+                    ending == Ending.NOT_SENT && result.lineBusy(),
+                    parseReport(result.load(), reportFields));
+        }
+    }
+
+    private void complete(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending, long at, long wait, boolean noSlot,
+            float[] report) {
+        counters.add(Counter.valueOf(ending.name()));
+        if (log.isTracing()) {
+            log.trace(at, "over", owed.entry.number(), shot.number, shot.endpointUid, owed.entry.destination(), ending,
+                    at - shot.firedAt, wait);
+        }
+        boolean wasOver = owed.outcome != null;
+        if (ending == Ending.DONE && !wasOver) {
+            shot.ending = ending;
+            shot.connection = null;
+            recordStore.endRecord(owed, Entry.End.DONE, 0);
+            counters.add(Counter.ENDED_DONE);
+        } else {
+            recordStore.endShot(owed, shot, ending);
+        }
+        decisionStage.addEvent(new Event.ShotEnded(owed.entry.number(), shot.number, endpoint, ending, Math.max(0,
+                at - shot.firedAt), wait, noSlot, owed.outcome != null, report));
+    }
+
+    private static String describeShot(TrackedRecord owed, TrackedRecord.Shot shot, Ending ending, long at) {
+        return "attempt " + shot.number + " of " + owed.entry.id() + " at " + shot.endpointUid + ": " + ending + " after "
+                + (at - shot.firedAt) / 1000 + " ms";
+    }
+
+    /** What an answer means; what cannot be read is an error. */
+    static Ending toEnding(Call.Result result) {
+        if (result.ending() != null) {
+            return result.ending();
+        }
+        return switch (result.status()) {
+            case 200 -> Ending.DONE;
+            case 429 -> Ending.FULL;
+            // a connection that is turned away at once and closed says nothing of the destination's limit: guards
+            // against taking a table of connections that other nodes fill for one; may hurt where a limit closes too
+            case 503 -> result.lineBusy() ? Ending.NOT_SENT
+                    : result.shutOut() && result.waitTold() == 0 ? Ending.CROWDED : Ending.FULL;
+            case 410, 504 -> Ending.NOT_SENT;
+            default -> Ending.ERROR;
+        };
+    }
+
+    /** A report such as x0=0.4,x1=25 in the order of the terms' fields; empty where it lacks one or one is no figure. */
+    static float[] parseReport(String load, List<String> reportFields) {
+        if (load == null || reportFields.isEmpty()) {
+            return NO_REPORT;
+        }
+        float[] values = new float[reportFields.size()];
+        int read = 0;
+        for (String pair : load.split(",")) {
+            String[] sides = pair.strip().split("=", 2);
+            int place = reportFields.indexOf(sides[0].strip());
+            float value = -1;
+            try {
+                value = sides.length == 2 ? Float.parseFloat(sides[1].strip()) : -1;
+            } catch (NumberFormatException e) {
+                // no figure, no report
+            }
+            if (!Float.isFinite(value) || value < 0) {
+                return NO_REPORT;
+            }
+            if (place >= 0) {
+                values[place] = value;
+                read |= 1 << place;
+            }
+        }
+        return Integer.bitCount(read) == reportFields.size() ? values : NO_REPORT;
+    }
+
+    /** Checks an endpoint by a call of its own. */
+    void startProbe(long endpoint, long now) {
+        Catalogue.Member member = endpointRegistry.member(endpoint);
+        if (member == null) {
+            return;
+        }
+        Call call = new Call("GET", "/ping", new String[] {"Host", member.peer().host()}, EMPTY_BODY);
+        PendingProbe probing = new PendingProbe(member, now);
+        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null : connectionPool.start(member.peer(), call, now,
+                result -> decisionLoop.post(new LoopEvent.ProbeCompleted(probing, result, decisionLoop.now())));
+        if (probing.connection == null) {
+            decisionStage.addEvent(new Event.ProbeEnded(endpoint, Ending.NOT_SENT, 0, NO_REPORT));
+            return;
+        }
+        probesInFlight++;
+        counters.add(Counter.PROBES);
+        log.trace(now, "probe", member.uid(), member.destination());
+        timers.schedule(now + limits.probeTimeoutMicros(), () -> {
+            if (!probing.completed) {
+                connectionPool.cancel(probing.connection);
+                complete(probing, Ending.TIMED_OUT, decisionLoop.now(), NO_REPORT);
+            }
+        });
+    }
+
+    /** Takes in how a probe ended. */
+    void handleResult(LoopEvent.ProbeCompleted probe) {
+        if (!probe.pendingProbe().completed) {
+            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(), parseReport(probe.result().load(), reportFields));
+        }
+    }
+
+    private void complete(PendingProbe probing, Ending ending, long at, float[] report) {
+        probing.completed = true;
+        probesInFlight--;
+        log.trace(at, "probed", probing.member.uid(), probing.member.destination(), ending, at - probing.startedAt);
+        decisionStage.addEvent(new Event.ProbeEnded(probing.member.number(), ending, Math.max(0, at - probing.startedAt), report));
+    }
+
+    /** A probe that is out. */
+    static final class PendingProbe {
+        private final Catalogue.Member member;
+        private final long startedAt;
+        private Calls.Line connection;
+        private boolean completed;
+
+        private PendingProbe(Catalogue.Member member, long firedAt) {
+            this.member = member;
+            this.startedAt = firedAt;
+        }
+    }
+
+    /** Tells the module what the last life owed and did for it. */
+    void restore(TrackedRecord owed, long now) {
+        List<Event.EarlierShot> earlier = new ArrayList<>();
+        for (TrackedRecord.Shot shot : owed.shots) {
+            Catalogue.Member member = endpointRegistry.member(shot.endpointUid);
+            earlier.add(new Event.EarlierShot(member == null ? -1 : member.number(), shot.zone,
+                    Math.max(0, now - shot.firedAt), shot.ending));
+        }
+        boolean stray = owed.shots.stream().anyMatch(shot -> shot.ending == null);
+        if (owed.isOpen() || !owed.noticeSettled || stray) {
+            decisionStage.addEvent(new Event.RecordRestored(DecisionLoop.toEvent(owed, now), earlier, !owed.isOpen()));
+        }
+    }
+
+    /** Holds back the calls to an endpoint that still wait for their connection. */
+    void withhold(long endpoint) {
+        Catalogue.Member member = endpointRegistry.member(endpoint);
+        if (member != null) {
+            connectionPool.withhold(member.peer());
+        }
+    }
+
+    /** Closes the idle connections to an endpoint. */
+    void closeIdleConnections(long endpoint) {
+        Catalogue.Member member = endpointRegistry.member(endpoint);
+        if (member != null) {
+            connectionPool.dropIdle(member.peer());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -0,0 +1,67 @@
+package terndyke.node.stage;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Objects;
+
+import terndyke.api.Ending;
+import terndyke.node.http.Calls;
+import terndyke.node.http.Handover;
+import terndyke.node.journal.Entry;
+
+/** A record that the node has taken on, from the taking until nothing needs it any more. */
+public final class TrackedRecord {
+    Entry.Taken entry; // without its body once the record has its end
+    final boolean clientRetry;
+    final boolean fromDeadNode;
+    final List<Shot> shots = new ArrayList<>(2);
+    Handover.Answer responder; // until the client has its answer
+    Entry.End outcome;
+    long retryAfterMicros;
+    long endedAt; // since when its notice is owed in this life
+    boolean noticeSettled; // nothing is owed any more
+
+    /** One shot; ending is null while it is out. */
+    static final class Shot {
+        final int number;
+        final long endpointNumber; // the endpoint's number in this life, or -1
+        final String endpointUid;
+        final int zone;
+        final long firedAt;
+        Ending ending;
+        Calls.Line connection;
+
+        Shot(int number, long target, String endpoint, int zone, long firedAt) {
+            this.number = number;
+            this.endpointNumber = target;
+            this.endpointUid = endpoint;
+            this.zone = zone;
+            this.firedAt = firedAt;
+        }
+    }
+
+    TrackedRecord(Entry.Taken taken, boolean again, boolean fromDeadNode, Handover.Answer answer) {
+        this.entry = taken;
+        this.clientRetry = again;
+        this.fromDeadNode = fromDeadNode;
+        this.responder = answer;
+    }
+
+    /** Whether this is that very record: an id alone does not say so. Of one that is over, the body is gone. */
+    boolean isSameRecord(Handover handover) {
+        return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
+                && entry.destination() == handover.destination() && (!isOpen()
+                || Objects.equals(entry.mark(), handover.mark()) && Arrays.equals(entry.body(), handover.body()));
+    }
+
+    void dropBody() {
+        entry = new Entry.Taken(entry.number(), entry.id(), entry.grade(), entry.tenant(), entry.key(),
+                entry.destination(), null, entry.takenAt(), entry.abandonAt(), new byte[0]);
+    }
+
+    /** True while the journal must hold the record's body: it may have to be shot again. */
+    boolean isOpen() {
+        return outcome == null;
+    }
+}
--- a/src/test/java/terndyke/LayersTest.java
+++ b/src/test/java/terndyke/LayersTest.java
@@ -10,35 +10,35 @@
 
 /** Who may know whom: decisions know only their events, a node knows decisions, the laboratory knows a node, never back. */
 class LayersTest {
-    private final JavaClasses program = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+    private final JavaClasses programClasses = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("terndyke");
 
     @Test
-    void decisionsKnowNothingButTheirEvents() {
+    void decisionsDependOnlyOnTheApi() {
         noClasses().that().resideInAnyPackage("terndyke.decision..", "terndyke.api..").should().dependOnClassesThat()
                 .resideInAnyPackage("terndyke.node..", "terndyke.adapter..", "terndyke.lab..", "java.io..", "java.net..",
-                        "java.nio..", "java.time..", "java.util.concurrent..").check(program);
+                        "java.nio..", "java.time..", "java.util.concurrent..").check(programClasses);
     }
 
     @Test
-    void noNodeKnowsTheLaboratory() {
+    void nothingOutsideTheLaboratoryDependsOnIt() {
         noClasses().that().resideOutsideOfPackage("terndyke.lab..").should().dependOnClassesThat()
-                .resideInAPackage("terndyke.lab..").check(program);
+                .resideInAPackage("terndyke.lab..").check(programClasses);
     }
 
     @Test
-    void theLaboratoryHearsNodesOnlyOverSockets() {
+    void theLaboratoryDependsOnNoNodeClasses() {
         noClasses().that().resideInAPackage("terndyke.lab..").should().dependOnClassesThat()
-                .resideInAnyPackage("terndyke.node..", "terndyke.decision..", "terndyke.adapter..").check(program);
+                .resideInAnyPackage("terndyke.node..", "terndyke.decision..", "terndyke.adapter..").check(programClasses);
     }
 
     @Test
-    void theReceiversModelAndTheRefereeHaveNoClockAndNoSocket() {
+    void modelAndRefereeUseNoClockAndNoSocket() {
         noClasses().that().resideInAnyPackage("terndyke.lab.model..", "terndyke.lab.referee..").should()
                 .dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio..", "java.time..", "org.apache.hc..",
-                        "terndyke.lab.wire..", "terndyke.lab.emulate..", "terndyke.lab.run..").check(program);
+                        "terndyke.lab.wire..", "terndyke.lab.emulate..", "terndyke.lab.run..").check(programClasses);
         noClasses().that().resideInAnyPackage("terndyke.lab.model..", "terndyke.lab.referee..", "terndyke.decision..")
                 .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-                .check(program);
+                .check(programClasses);
     }
 }
--- a/src/test/java/terndyke/RawServer.java
+++ b/src/test/java/terndyke/RawServer.java
@@ -18,73 +18,73 @@
 final class RawServer implements AutoCloseable {
     private static final int BACKLOG = 64;
 
-    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+    private final ServerSocket serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-    private final Function<Request, Answer> answers;
+    private final Function<Request, Response> responder;
 
     /** A whole request, and how many came on its connection before it. */
-    record Request(String path, Map<String, String> headers, String body, int before) {
+    record Request(String path, Map<String, String> headers, String body, int precedingRequests) {
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
     }
 
     /** The bytes of an answer, none for silence; where it ends the connection, that is in good order, by a FIN. */
-    record Answer(String bytes, boolean endsConnection) {
-        static final Answer SILENCE = new Answer("", false);
+    record Response(String bytes, boolean closesConnection) {
+        static final Response NO_RESPONSE = new Response("", false);
 
-        static Answer whole(String bytes) {
-            return new Answer(bytes, false);
+        static Response complete(String bytes) {
+            return new Response(bytes, false);
         }
 
-        static Answer cut(String whole, int length) {
-            return new Answer(whole.substring(0, length), true);
+        static Response truncated(String whole, int length) {
+            return new Response(whole.substring(0, length), true);
         }
 
-        static Answer json(String content) {
-            return whole("HTTP/1.1 200 OK\r\nContent-Length: " + content.length() + "\r\n\r\n" + content);
+        static Response json(String content) {
+            return complete("HTTP/1.1 200 OK\r\nContent-Length: " + content.length() + "\r\n\r\n" + content);
         }
     }
 
-    RawServer(Function<Request, Answer> answers) throws IOException {
-        this.answers = answers;
-        daemon(this::accept);
+    RawServer(Function<Request, Response> answers) throws IOException {
+        this.responder = answers;
+        startDaemon(this::acceptConnections);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "raw-server");
         thread.setDaemon(true);
         thread.start();
     }
 
     String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket connection = listener.accept();
+                Socket connection = serverSocket.accept();
                 connections.add(connection);
-                daemon(() -> serve(connection));
+                startDaemon(() -> serveConnection(connection));
             }
         } catch (IOException e) {
             // closed
         }
     }
 
-    private void serve(Socket connection) {
+    private void serveConnection(Socket connection) {
         try (connection) {
             connection.setTcpNoDelay(true);
             InputStream in = connection.getInputStream();
             for (int before = 0;; before++) {
-                Request request = read(in, before);
+                Request request = readRequest(in, before);
                 if (request == null) {
                     return;
                 }
-                Answer answer = answers.apply(request);
+                Response answer = responder.apply(request);
                 connection.getOutputStream().write(answer.bytes().getBytes(StandardCharsets.ISO_8859_1));
-                if (answer.endsConnection()) {
+                if (answer.closesConnection()) {
                     connection.shutdownOutput();
                     in.transferTo(OutputStream.nullOutputStream()); // to its end: no reset destroys the answer
                     return;
@@ -97,13 +97,13 @@
         }
     }
 
-    private static Request read(InputStream in, int before) throws IOException {
-        String first = line(in);
+    private static Request readRequest(InputStream in, int before) throws IOException {
+        String first = readLine(in);
         if (first == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
             String[] sides = line.split(":", 2);
             headers.put(sides[0].toLowerCase(Locale.ROOT), sides[1].strip());
         }
@@ -111,7 +111,7 @@
         return new Request(first.split(" ")[1], headers, new String(in.readNBytes(length), StandardCharsets.ISO_8859_1), before);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -124,7 +124,7 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        serverSocket.close();
         for (Socket connection : connections) {
             connection.close();
         }
--- a/src/test/java/terndyke/ServeProcessTest.java
+++ b/src/test/java/terndyke/ServeProcessTest.java
@@ -27,12 +27,12 @@
     Path folder;
 
     /** A configuration whose discovery nobody serves. */
-    private Path configuration(String listen) throws IOException {
-        return ServedNode.configuration(folder, listen, ServedNode.freeAddress());
+    private Path writeConfiguration(String listen) throws IOException {
+        return TestNodeProcess.writeConfiguration(folder, listen, TestNodeProcess.freeAddress());
     }
 
-    private ServedNode start(String before, Path configuration, String listen) throws IOException {
-        return ServedNode.start(folder, before, configuration, listen);
+    private TestNodeProcess startNode(String before, Path configuration, String listen) throws IOException {
+        return TestNodeProcess.start(folder, before, configuration, listen);
     }
 
     /**
@@ -41,43 +41,43 @@
      */
     @Test
     @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aNodeHearsSighupThoughItWasIgnoredWhereItWasStarted() throws Exception {
-        String listen = ServedNode.freeAddress();
-        try (ServedNode node = start("trap '' HUP; ", configuration(listen), listen)) {
+    void sighupIsHandledThoughItWasIgnoredAtProcessStart() throws Exception {
+        String listen = TestNodeProcess.freeAddress();
+        try (TestNodeProcess node = startNode("trap '' HUP; ", writeConfiguration(listen), listen)) {
             node.awaitLog("serving on");
-            node.hangUp();
+            node.sendHangup();
             node.awaitLog("configuration read again");
-            node.endsWell();
+            node.assertCleanExit();
         }
     }
 
     /** The configuration is a pipe, so that the node stands in the middle of its start until the test lets it go on. */
     @Test
     @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aSignalThatComesWhileTheNodeStillStartsIsHeardAndEndsNothing() throws Exception {
-        String listen = ServedNode.freeAddress();
-        byte[] configuration = Files.readAllBytes(configuration(listen));
+    void sighupDuringStartupReloadsTheConfigurationAndDoesNotEndTheProcess() throws Exception {
+        String listen = TestNodeProcess.freeAddress();
+        byte[] configuration = Files.readAllBytes(writeConfiguration(listen));
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        try (ServedNode node = start("", pipe, listen)) {
+        try (TestNodeProcess node = startNode("", pipe, listen)) {
             try (OutputStream first = Files.newOutputStream(pipe)) { // opens once the node reads
-                node.hangUp();
+                node.sendHangup();
                 first.write(configuration);
             }
             node.awaitLog("serving on");
             Files.write(pipe, configuration, StandardOpenOption.WRITE); // it is read again
             node.awaitLog("configuration read again");
-            node.endsWell();
+            node.assertCleanExit();
         }
     }
 
     /** Clients that say nothing come in one rush, more of them than the node may hold descriptors. */
     @Test
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void idleClientsThatWantAllDescriptorsDoNotEndTheListener() throws Exception {
-        String listen = ServedNode.freeAddress();
+    void idleClientsThatExhaustDescriptorsDoNotStopTheListener() throws Exception {
+        String listen = TestNodeProcess.freeAddress();
         List<SocketChannel> idle = new ArrayList<>();
-        try (ServedNode node = start("ulimit -n 256; ", configuration(listen), listen)) {
+        try (TestNodeProcess node = startNode("ulimit -n 256; ", writeConfiguration(listen), listen)) {
             node.awaitLog("serving on");
             for (int i = 0; i < 1_000; i++) {
                 SocketChannel one = SocketChannel.open();
@@ -87,10 +87,10 @@
             }
             String answer = "";
             for (long end = System.nanoTime() + 20_000_000_000L; answer.isEmpty() && System.nanoTime() < end;) {
-                answer = health(node.port());
+                answer = requestHealth(node.port());
             }
             assertEquals("HTTP/1.1 200 OK", answer);
-            node.endsWell();
+            node.assertCleanExit();
         } finally {
             for (SocketChannel one : idle) {
                 one.close();
@@ -98,7 +98,7 @@
         }
     }
 
-    private static String health(int port) {
+    private static String requestHealth(int port) {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(2_000);
             client.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/terndyke/SilentPlatformProcessTest.java
+++ b/src/test/java/terndyke/SilentPlatformProcessTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import terndyke.RawServer.Answer;
+import terndyke.RawServer.Response;
 import terndyke.RawServer.Request;
 
 /**
@@ -23,8 +23,8 @@
  * only 1.2 s later, and a message is given up some hundredths of a second before its time, so the client's half second was over.
  */
 class SilentPlatformProcessTest {
-    private static final int MESSAGE_MILLIS = 1_500;
-    private static final int FINAL_ANSWER_MILLIS = 500;
+    private static final int MESSAGE_TIMEOUT_MILLIS = 1_500;
+    private static final int NOTICE_GRACE_MILLIS = 500;
 
     private final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
 
@@ -32,36 +32,36 @@
     Path folder;
 
     /** Notices are taken on a connection's first request alone; on a later one nothing is heard or said. */
-    private Answer tell(Request request, RawServer endpoint) {
+    private Response answerDiscovery(Request request, RawServer endpoint) {
         if (request.path().equals("/v2/finals")) {
-            if (request.before() > 0) {
-                return Answer.SILENCE;
+            if (request.precedingRequests() > 0) {
+                return Response.NO_RESPONSE;
             }
             request.body().lines().forEach(line -> notices.add(line.split("\"")[3]));
-            return Answer.whole("HTTP/1.1 204 No Content\r\n\r\n");
+            return Response.complete("HTTP/1.1 204 No Content\r\n\r\n");
         }
-        return request.path().contains("after=") ? Answer.SILENCE
-                : Answer.json(ServedNode.list(endpoint.address(), 2));
+        return request.path().contains("after=") ? Response.NO_RESPONSE
+                : Response.json(TestNodeProcess.listJson(endpoint.address(), 2));
     }
 
-    private static Answer event(Request call) {
+    private static Response answerEvent(Request call) {
         return "first".equals(call.header("Request-Id"))
-                ? Answer.whole("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n") : Answer.SILENCE;
+                ? Response.complete("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n") : Response.NO_RESPONSE;
     }
 
     @Test
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aNoticeComesInTimeThoughItsConnectionHasFallenSilent() throws Exception {
-        try (RawServer endpoint = new RawServer(SilentPlatformProcessTest::event);
-                RawServer platform = new RawServer(request -> tell(request, endpoint));
-                ServedNode node = ServedNode.serve(folder, platform.address())) {
-            assertEquals("HTTP/1.1 202 Accepted", node.handIn("payment", "first", 0, MESSAGE_MILLIS));
+    void aNoticeIsRetriedInTimeWhenItsConnectionStopsResponding() throws Exception {
+        try (RawServer endpoint = new RawServer(SilentPlatformProcessTest::answerEvent);
+                RawServer platform = new RawServer(request -> answerDiscovery(request, endpoint));
+                TestNodeProcess node = TestNodeProcess.startServing(folder, platform.address())) {
+            assertEquals("HTTP/1.1 202 Accepted", node.submit("payment", "first", 0, MESSAGE_TIMEOUT_MILLIS));
             assertEquals("first", notices.poll(10, TimeUnit.SECONDS));
             long handedIn = System.nanoTime();
-            assertEquals("HTTP/1.1 202 Accepted", node.handIn("payment", "second", 1, MESSAGE_MILLIS));
+            assertEquals("HTTP/1.1 202 Accepted", node.submit("payment", "second", 1, MESSAGE_TIMEOUT_MILLIS));
             assertNotNull(notices.poll(10, TimeUnit.SECONDS));
             long took = (System.nanoTime() - handedIn) / 1_000_000;
-            assertTrue(took < MESSAGE_MILLIS + FINAL_ANSWER_MILLIS, "the notice came after " + took + " ms");
+            assertTrue(took < MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS, "the notice came after " + took + " ms");
         }
     }
 }
--- a/src/test/java/terndyke/ServedNode.java
+++ b/src/test/java/terndyke/TestNodeProcess.java
@@ -20,9 +20,9 @@
 import java.util.stream.IntStream;
 
 /** A node as the deployment starts it: by the line in deploy/balancer.toml, as a process of its own. */
-final class ServedNode implements AutoCloseable {
-    private static final Pattern RUN = Pattern.compile("(?s)\\nrun = \"\"\"(.*?)\"\"\"");
-    private static final int PATIENCE_MILLIS = 10_000;
+final class TestNodeProcess implements AutoCloseable {
+    private static final Pattern RUN_COMMAND_PATTERN = Pattern.compile("(?s)\\nrun = \"\"\"(.*?)\"\"\"");
+    private static final int TIMEOUT_MILLIS = 10_000;
     private static final String SETTINGS = """
             {"balancers":1,"rank":0,"zone":0,"dcs":["east"],"kinds":["a"],"discovery":"push","weightSource":"off",
              "resolution":0.005,"overShareWorth":0.1,"familyInfo":{"callsOut":4,"kindApart":[false],"perCall":[1]},
@@ -38,7 +38,7 @@
     private final BufferedReader log;
     private final int port;
 
-    private ServedNode(Process process, int port) {
+    private TestNodeProcess(Process process, int port) {
         this.process = process;
         this.port = port;
         log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
@@ -55,15 +55,15 @@
     }
 
     /** Writes a configuration with nothing known of endpoints. */
-    static Path configuration(Path folder, String listen, String discovery) throws IOException {
+    static Path writeConfiguration(Path folder, String listen, String discovery) throws IOException {
         return Files.writeString(folder.resolve("config.json"), "{\"name\":\"n0\",\"listen\":\"" + listen
                 + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"1\",\"limits\":{\"memory_mb\":192,\"sockets\":256,"
                 + "\"disk_mb\":3},\"known\":{},\"settings\":" + SETTINGS + "}");
     }
 
     /** Starts a node by a shell that does something else first. */
-    static ServedNode start(Path folder, String before, Path configuration, String listen) throws IOException {
-        Matcher run = RUN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+    static TestNodeProcess start(Path folder, String before, Path configuration, String listen) throws IOException {
+        Matcher run = RUN_COMMAND_PATTERN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
         assertTrue(run.find());
         String line = run.group(1).replace("\\\n", " ").replace("-jar target/terndyke.jar",
                 "-cp '" + System.getProperty("java.class.path") + "' terndyke.Main");
@@ -71,13 +71,13 @@
         start.environment().put("NODE_CONFIG", configuration.toString());
         start.environment().put("NODE_STATE", folder.resolve("state").toString());
         Files.createDirectories(folder.resolve("state"));
-        return new ServedNode(start.start(), port(listen));
+        return new TestNodeProcess(start.start(), port(listen));
     }
 
     /** Starts a node that follows discovery there, and waits until it serves. */
-    static ServedNode serve(Path folder, String discovery) throws IOException {
+    static TestNodeProcess startServing(Path folder, String discovery) throws IOException {
         String listen = freeAddress();
-        ServedNode node = start(folder, "", configuration(folder, listen, discovery), listen);
+        TestNodeProcess node = start(folder, "", writeConfiguration(folder, listen, discovery), listen);
         node.awaitLog("serving on");
         return node;
     }
@@ -95,18 +95,18 @@
         assertTrue(line != null, "the log ended without: " + words);
     }
 
-    void hangUp() throws IOException, InterruptedException {
+    void sendHangup() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    void endsWell() throws InterruptedException {
+    void assertCleanExit() throws InterruptedException {
         process.destroy();
-        assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+        assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         assertEquals(0, process.exitValue());
     }
 
     /** Discovery's list of so many destinations, numbered from 0, each with one endpoint at the same address. */
-    static String list(String address, int destinations) {
+    static String listJson(String address, int destinations) {
         return IntStream.range(0, destinations).mapToObj(number -> "{\"uid\":\"s-" + number + "\",\"endpoint\":\"" + address
                 + "\",\"az\":\"east\",\"model\":\"a\",\"pod_group\":" + number
                 + ",\"state\":\"active\",\"capacity_hint\":50,\"boot_ms\":0}")
@@ -114,20 +114,20 @@
     }
 
     /** Hands a message in on a connection of its own; the first line of the answer. */
-    String handIn(String grade, String id, int destination, long millis) throws IOException {
+    String submit(String grade, String id, int destination, long millis) throws IOException {
         String body = "body of " + id;
         String request = "POST /" + grade + " HTTP/1.1\r\nHost: n0\r\nRequest-Id: " + id + "\r\nX-Consignee: dest=" + destination
                 + "\r\nRequest-Timeout-Ms: " + millis + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-        return sendAndEnd(request, false).lines().findFirst().orElse("");
+        return sendRaw(request, false).lines().findFirst().orElse("");
     }
 
     /**
      * Sends bytes on a connection of their own, and where asked to ends the sending behind them; all that comes back: up to
      * the end of the connection where the sending has ended, else up to the end of a head.
      */
-    String sendAndEnd(String bytes, boolean ends) throws IOException {
+    String sendRaw(String bytes, boolean ends) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            client.setSoTimeout(PATIENCE_MILLIS);
+            client.setSoTimeout(TIMEOUT_MILLIS);
             client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             if (ends) {
                 client.shutdownOutput();
--- a/src/test/java/terndyke/HalfMessageProcessTest.java
+++ b/src/test/java/terndyke/TruncatedMessageProcessTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-import terndyke.RawServer.Answer;
+import terndyke.RawServer.Response;
 import terndyke.RawServer.Request;
 
 /**
@@ -29,27 +29,27 @@
  * reader took the end of the connection for the end of the line, so {@code HTTP/1.1 200 O} was a delivery. What proves it:
  * these tests, on answers, and on requests the same.
  */
-class HalfMessageProcessTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    private static final String REFUSED = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    private static final int MESSAGE_MILLIS = 3_000;
-    private static final int FINAL_ANSWER_MILLIS = 500; // after a message's time
-    private static final int DESTINATIONS = 40; // one for each message, so that no answer speaks for another message
-
-    private final Map<String, AtomicInteger> calls = new ConcurrentHashMap<>();
-    private final Map<String, String> notices = new ConcurrentHashMap<>(); // results by id
+class TruncatedMessageProcessTest {
+    private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    private static final String UNAVAILABLE_RESPONSE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final int MESSAGE_TIMEOUT_MILLIS = 3_000;
+    private static final int NOTICE_GRACE_MILLIS = 500; // after a message's time
+    private static final int DESTINATION_COUNT = 40; // one for each message, so that no answer speaks for another message
+
+    private final Map<String, AtomicInteger> callCounts = new ConcurrentHashMap<>();
+    private final Map<String, String> noticeResults = new ConcurrentHashMap<>(); // results by id
     private RawServer endpoint;
     private RawServer platform;
-    private ServedNode node;
+    private TestNodeProcess node;
 
     @TempDir
     Path folder;
 
     @BeforeEach
     void start() throws IOException {
-        endpoint = new RawServer(this::event);
-        platform = new RawServer(this::tell);
-        node = ServedNode.serve(folder, platform.address());
+        endpoint = new RawServer(this::answerEvent);
+        platform = new RawServer(this::answerDiscovery);
+        node = TestNodeProcess.startServing(folder, platform.address());
     }
 
     @AfterEach
@@ -60,32 +60,32 @@
     }
 
     /** The first call of a message named after a length is answered with so many bytes, any other one whole. */
-    private Answer event(Request call) {
+    private Response answerEvent(Request call) {
         if (!call.path().equals("/events")) {
-            return Answer.whole(OK);
+            return Response.complete(OK_RESPONSE);
         }
         String id = call.header("Request-Id");
-        int before = calls.computeIfAbsent(id, unseen -> new AtomicInteger()).getAndIncrement();
+        int before = callCounts.computeIfAbsent(id, unseen -> new AtomicInteger()).getAndIncrement();
         String[] words = id.split("-");
         if (before > 0 || !words[0].equals("cut")) {
-            return Answer.whole(OK);
+            return Response.complete(OK_RESPONSE);
         }
-        return Answer.cut(words[1].equals("ok") ? OK : REFUSED, Integer.parseInt(words[2]));
+        return Response.truncated(words[1].equals("ok") ? OK_RESPONSE : UNAVAILABLE_RESPONSE, Integer.parseInt(words[2]));
     }
 
-    private Answer tell(Request request) {
+    private Response answerDiscovery(Request request) {
         if (request.path().equals("/v2/finals")) {
-            request.body().lines().map(line -> line.split("\"")).forEach(words -> notices.put(words[3], words[7]));
-            return Answer.whole("HTTP/1.1 204 No Content\r\n\r\n");
+            request.body().lines().map(line -> line.split("\"")).forEach(words -> noticeResults.put(words[3], words[7]));
+            return Response.complete("HTTP/1.1 204 No Content\r\n\r\n");
         }
         if (request.path().contains("after=")) {
-            return Answer.SILENCE;
+            return Response.NO_RESPONSE;
         }
-        return Answer.json(ServedNode.list(endpoint.address(), DESTINATIONS));
+        return Response.json(TestNodeProcess.listJson(endpoint.address(), DESTINATION_COUNT));
     }
 
-    private int callsOf(String id) {
-        AtomicInteger count = calls.get(id);
+    private int callCount(String id) {
+        AtomicInteger count = callCounts.get(id);
         return count == null ? 0 : count.get();
     }
 
@@ -94,13 +94,13 @@
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void anAnswerCutInItsFirstLineIsNoDelivery() throws Exception {
         List<String> ids = new ArrayList<>();
-        for (int length = 0; length <= OK.indexOf('\n'); length++) {
+        for (int length = 0; length <= OK_RESPONSE.indexOf('\n'); length++) {
             String id = "cut-ok-" + length;
             ids.add(id);
-            assertEquals("HTTP/1.1 202 Accepted", node.handIn("status", id, length, MESSAGE_MILLIS));
+            assertEquals("HTTP/1.1 202 Accepted", node.submit("status", id, length, MESSAGE_TIMEOUT_MILLIS));
         }
-        Thread.sleep(MESSAGE_MILLIS + FINAL_ANSWER_MILLIS);
-        List<String> forgotten = ids.stream().filter(id -> callsOf(id) < 2 && !notices.containsKey(id)).toList();
+        Thread.sleep(MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS);
+        List<String> forgotten = ids.stream().filter(id -> callCount(id) < 2 && !noticeResults.containsKey(id)).toList();
         assertEquals(List.of(), forgotten, "neither called again nor ended by a notice");
     }
 
@@ -109,14 +109,14 @@
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void anAnswerCutInItsFirstLineIsNoProofThatNothingRan() throws Exception {
         List<String> ids = new ArrayList<>();
-        for (int length = 0; length <= REFUSED.indexOf('\n'); length++) {
+        for (int length = 0; length <= UNAVAILABLE_RESPONSE.indexOf('\n'); length++) {
             String id = "cut-refused-" + length;
             ids.add(id);
-            assertEquals("HTTP/1.1 202 Accepted", node.handIn("payment", id, length, MESSAGE_MILLIS));
+            assertEquals("HTTP/1.1 202 Accepted", node.submit("payment", id, length, MESSAGE_TIMEOUT_MILLIS));
         }
-        Thread.sleep(MESSAGE_MILLIS + FINAL_ANSWER_MILLIS);
-        assertEquals(List.of(), ids.stream().filter(id -> callsOf(id) > 1).toList(), "called again");
-        assertEquals(List.of(), ids.stream().filter(id -> !"dead".equals(notices.get(id))).toList(), "not ended as failed");
+        Thread.sleep(MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS);
+        assertEquals(List.of(), ids.stream().filter(id -> callCount(id) > 1).toList(), "called again");
+        assertEquals(List.of(), ids.stream().filter(id -> !"dead".equals(noticeResults.get(id))).toList(), "not ended as failed");
     }
 
     /** A client ends its sending at each byte of a head: what is taken on was never handed in so. */
@@ -124,24 +124,24 @@
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void aRequestCutInItsHeadIsNotTakenOn() throws Exception {
         List<String> takenOn = new ArrayList<>();
-        for (int missing = 1; missing < wholeHead("half-1").length(); missing++) {
-            String head = wholeHead("half-" + missing);
-            String answer = node.sendAndEnd(head.substring(0, head.length() - missing), true);
+        for (int missing = 1; missing < completeHead("half-1").length(); missing++) {
+            String head = completeHead("half-" + missing);
+            String answer = node.sendRaw(head.substring(0, head.length() - missing), true);
             if (answer.startsWith("HTTP/1.1 2")) {
                 takenOn.add("half-" + missing);
             }
         }
-        assertEquals("HTTP/1.1 202 Accepted", node.handIn("status", "whole", 0, MESSAGE_MILLIS));
-        for (long end = System.nanoTime() + 10_000_000_000L; callsOf("whole") == 0 && System.nanoTime() < end;) {
+        assertEquals("HTTP/1.1 202 Accepted", node.submit("status", "whole", 0, MESSAGE_TIMEOUT_MILLIS));
+        for (long end = System.nanoTime() + 10_000_000_000L; callCount("whole") == 0 && System.nanoTime() < end;) {
             Thread.sleep(10);
         }
         assertEquals(List.of(), takenOn);
-        assertEquals(Set.of("whole"), calls.keySet(), "forwarded");
-        assertTrue(notices.isEmpty());
+        assertEquals(Set.of("whole"), callCounts.keySet(), "forwarded");
+        assertTrue(noticeResults.isEmpty());
     }
 
     /** A head without a body, which needs no length: only its blank line ends it. */
-    private static String wholeHead(String id) {
+    private static String completeHead(String id) {
         return "POST /status HTTP/1.1\r\nHost: n0\r\nRequest-Id: " + id + "\r\nX-Consignee: dest=0\r\n"
                 + "Request-Timeout-Ms: 4000\r\n\r\n";
     }
--- a/src/test/java/terndyke/node/CharterTest.java
+++ b/src/test/java/terndyke/node/NodeConfigurationTest.java
@@ -16,7 +16,7 @@
 import terndyke.api.DeliverySettings.ListedRateAccuracy;
 import terndyke.api.ServiceGrade.RepeatSemantics;
 
-class CharterTest {
+class NodeConfigurationTest {
     static final String SETTINGS = """
             {"balancers":2,"rank":1,"zone":0,"dcs":["east","west"],"kinds":["a","b"],"discovery":"push",
              "weightSource":"rough","resolution":0.005,"overShareWorth":0.1,
@@ -33,49 +33,49 @@
                 "serialByKey":true,"points":1.0,"lateShare":0.3},
                {"name":"payment","target":2.5,"deadline":24.0,"semantics":"fragile","points":1.0}]}""";
 
-    static Charter read(String json) throws IOException {
-        return Charter.read(json.getBytes(StandardCharsets.UTF_8),
-                new Charter.Place("file", null, null, null, "state"));
+    static NodeConfiguration read(String json) throws IOException {
+        return NodeConfiguration.read(json.getBytes(StandardCharsets.UTF_8),
+                new NodeConfiguration.StartupOptions("file", null, null, null, "state"));
     }
 
-    static String whole(String settings) {
+    static String configurationJson(String settings) {
         return "{\"name\":\"n3\",\"listen\":\"127.0.0.1:8443\",\"discovery\":\"127.0.0.1:8500\",\"seed\":"
                 + "\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},\"known\":"
                 + "{\"rev\":4,\"all\":true,\"targets\":[{\"uid\":\"s-1\"}]},\"settings\":" + settings + "}";
     }
 
     @Test
-    void aConfigurationIsReadWhole() throws IOException {
-        Charter charter = read(whole(SETTINGS));
-        assertEquals(List.of("status", "order", "payment"), charter.grades());
-        assertEquals(List.of("acme"), charter.tenants());
-        assertEquals(List.of("east", "west"), charter.zones());
-        assertEquals(0x8c1f30d27a5be964L, charter.terms().seed());
-        assertEquals(RepeatSemantics.DEDUPLICATED, charter.terms().grades().get(1).repeatSemantics());
-        assertEquals(List.of(false, true), charter.terms().independentRoutesByKind());
-        assertEquals(List.of(1, 1), charter.terms().maxRecordsPerCallByKind(), "one record travels in a call");
-        assertEquals("s-1", charter.known().get("targets.0.uid"));
-        assertEquals(500_000, charter.limits().connectTimeout());
-        assertTrue(charter.limits().idleClose() < 15_000_000);
+    void aConfigurationIsReadCompletely() throws IOException {
+        NodeConfiguration charter = read(configurationJson(SETTINGS));
+        assertEquals(List.of("status", "order", "payment"), charter.gradeNames());
+        assertEquals(List.of("acme"), charter.tenantNames());
+        assertEquals(List.of("east", "west"), charter.zoneNames());
+        assertEquals(0x8c1f30d27a5be964L, charter.deliverySettings().seed());
+        assertEquals(RepeatSemantics.DEDUPLICATED, charter.deliverySettings().grades().get(1).repeatSemantics());
+        assertEquals(List.of(false, true), charter.deliverySettings().independentRoutesByKind());
+        assertEquals(List.of(1, 1), charter.deliverySettings().maxRecordsPerCallByKind(), "one record travels in a call");
+        assertEquals("s-1", charter.knownEndpoints().get("targets.0.uid"));
+        assertEquals(500_000, charter.limits().connectTimeoutMicros());
+        assertTrue(charter.limits().idleConnectionTimeoutMicros() < 15_000_000);
     }
 
     @Test
-    void whatCannotBeReadIsToldInOneLine() {
-        for (String json : List.of("", "[]", "{", "{}", "{} {}", whole("{}"), whole(SETTINGS.replace("2.0", "\"x\"")),
-                whole(SETTINGS).replace("8c1f30d27a5be964", "no seed"),
-                whole(SETTINGS).replace("127.0.0.1:8443", "some.host:8443"), whole(SETTINGS).replace(":8500", ""))) {
+    void anUnreadableConfigurationIsReportedByAMessage() {
+        for (String json : List.of("", "[]", "{", "{}", "{} {}", configurationJson("{}"), configurationJson(SETTINGS.replace("2.0", "\"x\"")),
+                configurationJson(SETTINGS).replace("8c1f30d27a5be964", "no seed"),
+                configurationJson(SETTINGS).replace("127.0.0.1:8443", "some.host:8443"), configurationJson(SETTINGS).replace(":8500", ""))) {
             IOException told = assertThrows(IOException.class, () -> read(json), json);
             assertTrue(told.getMessage() != null && !told.getMessage().isBlank());
         }
     }
 
     @Test
-    void whatTheModuleReadsOfPricesAndTheListComesFromTheConfiguration() throws IOException {
+    void pricesAndListSettingsComeFromTheConfiguration() throws IOException {
         String told = SETTINGS.replace("\"weightSource\":\"rough\"", "\"weightSource\":\"nominal\"")
                 .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
                 .replace("\"late\":\"even\"", "\"late\":\"by_half\",\"zoneFee\":[0.01,0.04]")
                 .replace("\"tenants\":", "\"costs\":{\"crossZone\":0.03,\"handshake\":0.06},\"tenants\":");
-        DeliverySettings terms = read(whole(told)).terms();
+        DeliverySettings terms = read(configurationJson(told)).deliverySettings();
         assertEquals(ListedRateAccuracy.EXACT, terms.listedRateAccuracy());
         assertTrue(terms.listOnRequest() && terms.exponentialPayoffDecay());
         assertEquals(List.of(0.01, 0.04), terms.hallFees());
@@ -85,7 +85,7 @@
 
     @Test
     void withoutPricesACallCostsNothingAndTheListIsRoughAndPushed() throws IOException {
-        DeliverySettings terms = read(whole(SETTINGS)).terms();
+        DeliverySettings terms = read(configurationJson(SETTINGS)).deliverySettings();
         assertEquals(ListedRateAccuracy.ROUGH, terms.listedRateAccuracy());
         assertFalse(terms.listOnRequest());
         assertEquals(0, terms.hallFee(0) + terms.zoneCrossingPrice() + terms.newConnectionPrice());
@@ -93,7 +93,7 @@
 
     /** Guards against a mistyped setting that silently turns into a default: the line names what is allowed. */
     @Test
-    void aBadSettingIsToldWithItsNameItsValueAndWhatIsAllowed() {
+    void anInvalidSettingIsReportedWithItsNameItsValueAndWhatIsAllowed() {
         Map<String, List<String>> bad = Map.of(
                 SETTINGS.replace("\"rough\"", "\"nomnal\""), List.of("weightSource", "nomnal", "off, rough, nominal"),
                 SETTINGS.replace("\"push\"", "\"pull\""), List.of("discovery", "pull", "push, ask"),
@@ -101,7 +101,7 @@
                 SETTINGS.replace("\"tenants\":", "\"costs\":{\"handshake\":6},\"tenants\":"),
                 List.of("costs.handshake", "6", "0 to 1"));
         bad.forEach((settings, parts) -> {
-            String told = assertThrows(IOException.class, () -> read(whole(settings)), settings).getMessage();
+            String told = assertThrows(IOException.class, () -> read(configurationJson(settings)), settings).getMessage();
             parts.forEach(part -> assertTrue(told.contains(part), told));
             assertFalse(told.contains("\n"));
         });
@@ -118,11 +118,11 @@
     void limitsStayWithinWhatTheMachineGrants() {
         for (int sockets : new int[] {128, 256, 1024, 4096}) {
             for (int slots : new int[] {1, 33, 400}) {
-                Limits limits = Limits.shareOut(192, sockets, 3, slots, 468, 1_500_000, 15_000_000);
-                assertTrue(limits.clientConnections() + limits.spareConnections() + limits.endpointConnections()
+                Limits limits = Limits.fromResources(192, sockets, 3, slots, 468, 1_500_000, 15_000_000);
+                assertTrue(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxEndpointConnections()
                         < sockets);
-                assertTrue(limits.journalBytes() <= 3_000_000);
-                assertTrue(limits.heldBytes() <= 192_000_000 / 4);
+                assertTrue(limits.maxJournalBytes() <= 3_000_000);
+                assertTrue(limits.maxHeldBytes() <= 192_000_000 / 4);
             }
         }
     }
--- a/src/test/java/terndyke/node/GivenNode.java
+++ b/src/test/java/terndyke/node/NodeFixtures.java
@@ -7,17 +7,17 @@
 import java.nio.file.Path;
 
 /** Parts of a node for the tests of other packages. */
-public final class GivenNode {
+public final class NodeFixtures {
     public static final NodeLog NO_LOG = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
 
-    private GivenNode() { }
+    private NodeFixtures() { }
 
     /** The terms of CharterTest, an empty list and discovery at that address. */
-    public static Charter charter(Path folder, InetSocketAddress discovery) throws IOException {
+    public static NodeConfiguration configuration(Path folder, InetSocketAddress discovery) throws IOException {
         String text = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
                 + "\",\"seed\":\"1\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},\"known\":{},\"settings\":"
-                + CharterTest.SETTINGS + "}";
-        return Charter.read(text.getBytes(StandardCharsets.UTF_8),
-                new Charter.Place("file", null, null, null, folder.toString()));
+                + NodeConfigurationTest.SETTINGS + "}";
+        return NodeConfiguration.read(text.getBytes(StandardCharsets.UTF_8),
+                new NodeConfiguration.StartupOptions("file", null, null, null, folder.toString()));
     }
 }
--- a/src/test/java/terndyke/node/RehearsalTest.java
+++ b/src/test/java/terndyke/node/WarmUpTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
-    void aRehearsalGivesWayAgainAndAgainHoweverLongItTakes() throws IOException {
+    void warmUpYieldsRepeatedlyHoweverLongItTakes() throws IOException {
         int[] gaveWay = new int[1];
-        Rehearsal.decide(CharterTest.read(CharterTest.whole(CharterTest.SETTINGS)), 60_000_000, () -> gaveWay[0]++);
+        WarmUp.warmUpDispatcher(NodeConfigurationTest.read(NodeConfigurationTest.configurationJson(NodeConfigurationTest.SETTINGS)), 60_000_000, () -> gaveWay[0]++);
         assertTrue(gaveWay[0] >= 20, "gave way " + gaveWay[0] + " times");
     }
 }
--- a/src/test/java/terndyke/node/discovery/WatchTest.java
+++ b/src/test/java/terndyke/node/discovery/WatchTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 import terndyke.node.Counters;
-import terndyke.node.GivenNode;
+import terndyke.node.NodeFixtures;
 import terndyke.node.Limits;
 import terndyke.node.http.Call;
 import terndyke.node.http.Calls;
@@ -37,7 +37,7 @@
 
     private record Answered(long round, Call.Result result) { }
 
-    private final Limits limits = Limits.shareOut(192, 1024, 3, 8, 40, 400_000, 1_000_000);
+    private final Limits limits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 1_000_000);
     private final BlockingQueue<Answered> answers = new LinkedBlockingQueue<>();
     private final BlockingQueue<Calls.Line> free = new LinkedBlockingQueue<>();
     private ServerSocket discovery;
@@ -52,7 +52,7 @@
         discovery = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
         discovery.setSoTimeout(20_000);
         Counters counters = new Counters();
-        reactor = new Reactor(limits, counters, GivenNode.NO_LOG);
+        reactor = new Reactor(limits, counters, NodeFixtures.NO_LOG);
         reactor.start();
         calls = new Calls(reactor, limits, counters, () -> now, free::add);
         watch(false);
@@ -60,7 +60,7 @@
 
     private void watch(boolean onRequest) {
         watch = new Watch(limits, new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()),
-                new Catalogue(List.of("east"), List.of("a")), calls, GivenNode.NO_LOG, onRequest,
+                new Catalogue(List.of("east"), List.of("a")), calls, NodeFixtures.NO_LOG, onRequest,
                 new Random(1), (round, result) -> answers.add(new Answered(round, result)));
     }
 
@@ -117,7 +117,7 @@
         assertEquals("/catalog/members", asked(), "at first the whole list, at once");
         assertTrue(answer(LIST));
         watch.keep(now);
-        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWait() / 1000, asked());
+        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked());
         long silentSince = now; // at worst it falls silent as soon as it is open
         lost();
         assertEquals("/catalog/members", asked());
@@ -167,13 +167,13 @@
         for (; now - began < 8_000_000; calls++) {
             assertTrue(!answer("503 Full", ""));
             assertTrue(watch.dueAt() - now <= TOLD_AFTER - 2 * ROOM, "rests for " + (watch.dueAt() - now));
-            if (watch.dueAt() - now >= limits.idleClose()) { // the next call comes on a connection of its own
+            if (watch.dueAt() - now >= limits.idleConnectionTimeoutMicros()) { // the next call comes on a connection of its own
                 connection.close();
                 connection = null;
             }
             now = watch.dueAt();
             watch.keep(now);
-            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWait() / 1000, asked(), "it goes on from there");
+            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked(), "it goes on from there");
         }
         assertTrue(calls <= 14, calls + " calls in 8 s");
     }
@@ -185,7 +185,7 @@
         now = watch.dueAt() + 1_000_000; // the node was held up, and the answer lies in its inbox
         assertTrue(answer(LIST));
         watch.keep(now);
-        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWait() / 1000, asked());
+        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked());
     }
 
     @Test
--- a/src/test/java/terndyke/node/http/CallsTest.java
+++ b/src/test/java/terndyke/node/http/CallsTest.java
@@ -28,7 +28,7 @@
 
 import terndyke.api.Ending;
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 
@@ -40,7 +40,7 @@
     private final Counters counters = new Counters();
     private final BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
     private final BlockingQueue<Calls.Line> free = new LinkedBlockingQueue<>();
-    private final Limits limits = Limits.shareOut(192, 1024, 3, 8, 40, 400_000, 1_000_000);
+    private final Limits limits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 1_000_000);
     private ServerSocket endpoint;
     private Reactor reactor;
     private Calls calls;
@@ -107,7 +107,7 @@
             assertEquals(250_000, second.waitTold());
             assertEquals("x0=0.5", second.load());
         }
-        assertEquals(1, counters.of(Count.CONNECTIONS_OPENED));
+        assertEquals(1, counters.get(Counter.CONNECTIONS_OPENED));
     }
 
     @Test
@@ -218,7 +218,7 @@
             answer(connection, ANSWER);
             result();
             calls.free(free.poll(30, TimeUnit.SECONDS), 0);
-            call(BODY, limits.idleClose());
+            call(BODY, limits.idleConnectionTimeoutMicros());
             try (Socket second = endpoint.accept()) {
                 request(second);
                 answer(second, ANSWER);
@@ -267,7 +267,7 @@
 
     @Test
     void anIdleConnectionOutlivesTheTimeThatTheRestOfAnAnswerMayTake() throws Exception {
-        Limits patient = Limits.shareOut(192, 1024, 3, 8, 40, 400_000, 15_000_000);
+        Limits patient = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 15_000_000);
         calls = new Calls(reactor, patient, counters, () -> 0, free::add);
         call(BODY, 0);
         try (Socket connection = endpoint.accept()) {
@@ -275,13 +275,13 @@
             answer(connection, ANSWER);
             result();
             calls.free(free.poll(30, TimeUnit.SECONDS), 0);
-            Thread.sleep(patient.restOfAnswer() / 1000 + 400);
-            call(BODY, patient.restOfAnswer());
+            Thread.sleep(patient.responseReadTimeoutMicros() / 1000 + 400);
+            call(BODY, patient.responseReadTimeoutMicros());
             request(connection);
             answer(connection, ANSWER);
             assertEquals(200, result().status());
         }
-        assertEquals(1, counters.of(Count.CONNECTIONS_OPENED));
+        assertEquals(1, counters.get(Counter.CONNECTIONS_OPENED));
     }
 
     @Test
@@ -451,7 +451,7 @@
         for (int i = 0; i < 2; i++) { // the queue of the socket is full, so the next one is not up yet
             others.add(new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
         }
-        calls = new Calls(reactor, Limits.shareOut(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters, () -> 0, free::add);
+        calls = new Calls(reactor, Limits.fromResources(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters, () -> 0, free::add);
         calls.start(full, new Call("POST", "/events", new String[] {"Host", "x"}, BODY), 0, results::add);
         calls.withhold(full);
         for (int i = 0; i < 3; i++) {
@@ -500,7 +500,7 @@
 
     @Test
     void connectionsAreBounded() {
-        for (int i = 0; i < limits.endpointConnections(); i++) {
+        for (int i = 0; i < limits.maxEndpointConnections(); i++) {
             assertTrue(call(BODY, 0) != null);
         }
         assertNull(call(BODY, 0));
--- a/src/test/java/terndyke/node/http/VisitsTest.java
+++ b/src/test/java/terndyke/node/http/VisitsTest.java
@@ -22,7 +22,7 @@
 
 /** Clients' connections by a clock that the test sets, without sockets. */
 class VisitsTest {
-    private final Limits limits = Limits.shareOut(128, 256, 3, 12, 40, 400_000, 1_000_000);
+    private final Limits limits = Limits.fromResources(128, 256, 3, 12, 40, 400_000, 1_000_000);
     private final Set<IOSession> closed = new HashSet<>();
     private final Map<IOSession, Long> timeouts = new HashMap<>();
     private long now = 1_000_000;
@@ -43,7 +43,7 @@
     }
 
     private void fill() {
-        for (int i = 0; i < limits.clientConnections(); i++) {
+        for (int i = 0; i < limits.maxClientConnections(); i++) {
             visits.come(session());
         }
     }
@@ -87,7 +87,7 @@
         assertTrue(visits.crowded());
         assertNotNull(visits.come(session()));
         assertTrue(closed.isEmpty(), "nobody is turned out in the moment of coming");
-        now += limits.silentAtLeast();
+        now += limits.silentClientEvictionMicros();
         visits.come(session());
         assertEquals(1, closed.size());
         assertFalse(closed.contains(idle), "its request is coming in");
@@ -128,11 +128,11 @@
         IOSession silent = session();
         visits.come(silent);
         fill();
-        for (int i = 1; i < limits.spareConnections(); i++) {
+        for (int i = 1; i < limits.maxExcessClientConnections(); i++) {
             visits.come(session());
         }
         assertNull(visits.come(session()), "nobody had the time to say anything");
-        now += limits.silentAtLeast() / 2;
+        now += limits.silentClientEvictionMicros() / 2;
         assertNotNull(visits.come(session()));
         assertEquals(Set.of(silent), closed);
     }
@@ -141,7 +141,7 @@
     void pastAllRoomAClientIsTurnedOutAndPlacesComeBack() {
         fill();
         Visits.Visit last = null;
-        for (int i = 0; i < limits.spareConnections(); i++) {
+        for (int i = 0; i < limits.maxExcessClientConnections(); i++) {
             last = visits.come(session());
         }
         assertNull(visits.come(session()));
@@ -180,6 +180,6 @@
         elsewhere(visit::answered);
         assertEquals(whole, timeouts.get(client), "nothing of the connection changes on another thread");
         visits.come(session());
-        assertEquals(limits.clientIdle(), timeouts.get(client));
+        assertEquals(limits.idleClientTimeoutMicros(), timeouts.get(client));
     }
 }
--- a/src/test/java/terndyke/node/stage/DeskTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import terndyke.node.Charter;
+import terndyke.node.NodeConfiguration;
 import terndyke.node.Counters;
-import terndyke.node.GivenNode;
+import terndyke.node.NodeFixtures;
 import terndyke.node.NodeClock;
 import terndyke.node.discovery.Catalogue;
 import terndyke.node.http.Handover;
@@ -28,19 +28,19 @@
 import terndyke.node.journal.Journal;
 
 /** Hand-overs to the decision thread that come between two of its lines. */
-class DeskTest {
+class DecisionLoopTest {
     @TempDir
     Path folder;
 
     /** The I/O thread has found the desk still open, and adds its record only after the desk's last look. */
     @Test
-    void aRecordThatComesAfterTheDesksLastLookIsNotTakenIn() throws Exception {
+    void aRecordAddedAfterTheFinalQueueCheckIsNotTakenOn() throws Exception {
         CountDownLatch adding = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        LinkedBlockingQueue<Word> inbox = new LinkedBlockingQueue<>() {
+        LinkedBlockingQueue<LoopEvent> inbox = new LinkedBlockingQueue<>() {
             @Override
-            public boolean add(Word word) {
-                if (word instanceof Word.Handed) {
+            public boolean add(LoopEvent word) {
+                if (word instanceof LoopEvent.RequestReceived) {
                     adding.countDown();
                     try {
                         ended.await();
@@ -56,20 +56,20 @@
                 new Class<?>[] {Handover.Answer.class}, (self, method, given) -> heard.add(method.getName()) ? null : null);
         Counters counters = new Counters();
         try (ServerSocket silent = new ServerSocket(0)) {
-            Charter charter = GivenNode.charter(folder, new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
-            Reactor reactor = new Reactor(charter.limits(), counters, GivenNode.NO_LOG);
+            NodeConfiguration charter = NodeFixtures.configuration(folder, new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
+            Reactor reactor = new Reactor(charter.limits(), counters, NodeFixtures.NO_LOG);
             reactor.start();
-            Book book = new Book(Journal.open(folder, charter.limits().journalBytes(), GivenNode.NO_LOG, new ArrayList<>()),
-                    charter.limits(), counters, GivenNode.NO_LOG);
-            Desk desk = new Desk(charter, reactor, new Catalogue(charter.zones(), charter.kinds()), book, new NodeClock(),
-                    counters, GivenNode.NO_LOG, inbox);
+            RecordStore book = new RecordStore(Journal.open(folder, charter.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
+                    charter.limits(), counters, NodeFixtures.NO_LOG);
+            DecisionLoop desk = new DecisionLoop(charter, reactor, new Catalogue(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(),
+                    counters, NodeFixtures.NO_LOG, inbox);
             Thread thread = new Thread(desk);
             thread.start();
             CompletableFuture<Boolean> taken = new CompletableFuture<>();
-            new Thread(() -> taken.complete(desk.handOver(new Handover("r-1", 0, 0, 0, 3, null, 4_000_000, false, false,
+            new Thread(() -> taken.complete(desk.offerRequest(new Handover("r-1", 0, 0, 0, 3, null, 4_000_000, false, false,
                     new byte[0], new NodeClock().now(), answer)))).start();
             adding.await();
-            desk.post(new Word.Leave());
+            desk.post(new LoopEvent.ShutdownRequested());
             thread.join(30_000);
             ended.countDown();
             assertFalse(taken.get(30, TimeUnit.SECONDS), "the door has to refuse it: nobody else will");
--- a/src/test/java/terndyke/node/stage/StageTest.java
+++ b/src/test/java/terndyke/node/stage/StageTest.java
@@ -18,7 +18,7 @@
 
 import terndyke.api.Ending;
 import terndyke.node.Counters;
-import terndyke.node.Counters.Count;
+import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 import terndyke.node.discovery.Catalogue;
@@ -28,29 +28,29 @@
 import terndyke.node.journal.Journal;
 
 class StageTest {
-    private static final NodeLog LOG = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
-    private static final long NOW = 1_000_000_000;
+    private static final NodeLog NO_LOG = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
+    private static final long NOW_MICROS = 1_000_000_000;
 
     @TempDir
     Path folder;
 
-    private final Limits limits = Limits.shareOut(192, 1024, 0.2, 8, 3, 1_000_000, 15_000_000);
+    private final Limits limits = Limits.fromResources(192, 1024, 0.2, 8, 3, 1_000_000, 15_000_000);
     private final Counters counters = new Counters();
     private final Catalogue catalogue = new Catalogue(List.of("east"), List.of("a"));
     private final List<String> answers = new ArrayList<>();
-    private final TakeIn takeIn = new TakeIn(40);
+    private final IntakeStage intakeStage = new IntakeStage(40);
     private Journal journal;
-    private Book book;
-    private Admit admit;
+    private RecordStore recordStore;
+    private AdmissionStage admissionStage;
 
     @BeforeEach
     void start() throws IOException {
-        journal = Journal.open(folder, limits.journalBytes(), LOG, new ArrayList<>());
-        book = new Book(journal, limits, counters, LOG);
-        admit = new Admit(limits, counters, catalogue, book);
+        journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, new ArrayList<>());
+        recordStore = new RecordStore(journal, limits, counters, NO_LOG);
+        admissionStage = new AdmissionStage(limits, counters, catalogue, recordStore);
         catalogue.take(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"east\","
                 + "\"model\":\"a\",\"pod_group\":3,\"state\":\"active\"}]}").getBytes(StandardCharsets.UTF_8),
-                NOW, new ArrayList<>());
+                NOW_MICROS, new ArrayList<>());
     }
 
     private Handover handover(String id, int destination, int size, long readAt) {
@@ -78,189 +78,189 @@
                 });
     }
 
-    private Owed booked(String id) {
-        Owed owed = takeIn.take(handover(id, 3, 10, NOW));
-        assertTrue(book.taken(owed));
+    private TrackedRecord addRecord(String id) {
+        TrackedRecord owed = intakeStage.createRecord(handover(id, 3, 10, NOW_MICROS));
+        assertTrue(recordStore.tryAdd(owed));
         return owed;
     }
 
-    private Book reopened() throws IOException {
+    private RecordStore reopenStore() throws IOException {
         journal.close();
         List<Entry> entries = new ArrayList<>();
-        journal = Journal.open(folder, limits.journalBytes(), LOG, entries);
-        Book again = new Book(journal, limits, counters, LOG);
+        journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, entries);
+        RecordStore again = new RecordStore(journal, limits, counters, NO_LOG);
         again.restore(entries);
         return again;
     }
 
     @Test
-    void recordsAreNumberedOnFromTheLastLife() {
-        assertEquals(41, takeIn.take(handover("r", 3, 1, NOW)).taken.number());
-        assertEquals(NOW + 5_000_000, takeIn.take(handover("r", 3, 1, NOW)).taken.abandonAt());
+    void recordNumbersContinueFromThePreviousRun() {
+        assertEquals(41, intakeStage.createRecord(handover("r", 3, 1, NOW_MICROS)).entry.number());
+        assertEquals(NOW_MICROS + 5_000_000, intakeStage.createRecord(handover("r", 3, 1, NOW_MICROS)).entry.abandonAt());
     }
 
     @Test
-    void whatIsNewIsAdmitted() {
-        assertTrue(admit.admit(handover("r", 3, 10, NOW), NOW));
+    void aNewRecordIsAdmitted() {
+        assertTrue(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of(), answers);
     }
 
     @Test
-    void anotherRecordUnderATakenIdIsNotToldThatItIsTaken() {
-        booked("r");
-        assertFalse(admit.admit(handover("r", 3, 10, NOW), NOW));
-        assertFalse(admit.admit(handover("r", 3, 0, NOW), NOW));
-        Owed over = booked("s");
-        book.ended(over, Entry.End.DONE, 0);
-        Handover told = handover("s", 3, 10, NOW);
-        assertFalse(admit.admit(told, NOW));
-        assertFalse(admit.admit(new Handover("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW,
-                told.answer()), NOW));
+    void aDifferentRecordWithAKnownIdIsRefused() {
+        addRecord("r");
+        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(handover("r", 3, 0, NOW_MICROS), NOW_MICROS));
+        TrackedRecord over = addRecord("s");
+        recordStore.endRecord(over, Entry.End.DONE, 0);
+        Handover told = handover("s", 3, 10, NOW_MICROS);
+        assertFalse(admissionStage.admit(told, NOW_MICROS));
+        assertFalse(admissionStage.admit(new Handover("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW_MICROS,
+                told.answer()), NOW_MICROS));
         assertEquals(List.of("taken", "refused 0", "delivered", "refused 0"), answers);
     }
 
     @Test
     void anUnknownDestinationFails() {
-        assertFalse(admit.admit(handover("r", 4, 10, NOW), NOW));
+        assertFalse(admissionStage.admit(handover("r", 4, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of("failed 400"), answers);
     }
 
     @Test
     void aRequestThatWaitedTooLongIsRefused() {
-        assertFalse(admit.admit(handover("r", 3, 10, NOW), NOW + limits.answerWithin() + 1));
+        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS + limits.maxAdmissionDelayMicros() + 1));
         assertEquals(List.of("refused 0"), answers);
     }
 
     @Test
-    void aNodeThatLeavesRefuses() {
-        admit.leave();
-        assertFalse(admit.admit(handover("r", 3, 10, NOW), NOW));
+    void aNodeThatShutsDownRefusesNewRecords() {
+        admissionStage.beginShutdown();
+        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of("refused 0"), answers);
     }
 
     @Test
-    void moreThanMayBeHeldIsRefused() {
-        for (int i = 0; i < limits.records(); i++) {
-            booked("r" + i);
+    void recordsAboveTheHeldLimitAreRefused() {
+        for (int i = 0; i < limits.maxHeldRecords(); i++) {
+            addRecord("r" + i);
         }
-        assertFalse(admit.admit(handover("one more", 3, 10, NOW), NOW));
+        assertFalse(admissionStage.admit(handover("one more", 3, 10, NOW_MICROS), NOW_MICROS));
     }
 
     @Test
-    void whatIsAdmittedInOneTurnCountsBeforeItIsBooked() {
-        for (int i = 0; i < limits.records(); i++) {
-            assertTrue(admit.admit(handover("r" + i, 3, 10, NOW), NOW));
+    void recordsAdmittedInOneTurnCountBeforeTheyAreJournalled() {
+        for (int i = 0; i < limits.maxHeldRecords(); i++) {
+            assertTrue(admissionStage.admit(handover("r" + i, 3, 10, NOW_MICROS), NOW_MICROS));
         }
-        assertFalse(admit.admit(handover("one more", 3, 10, NOW), NOW));
-        book.settled();
-        assertTrue(admit.admit(handover("another", 3, 10, NOW), NOW));
+        assertFalse(admissionStage.admit(handover("one more", 3, 10, NOW_MICROS), NOW_MICROS));
+        recordStore.clearReservations();
+        assertTrue(admissionStage.admit(handover("another", 3, 10, NOW_MICROS), NOW_MICROS));
     }
 
     @Test
-    void whatTheJournalHasNoRoomForIsRefused() {
-        assertFalse(admit.admit(handover("r", 3, (int) limits.journalBytes() / 2, NOW), NOW));
-        assertEquals(1, counters.of(Count.JOURNAL_REFUSALS));
+    void aRecordTheJournalHasNoRoomForIsRefused() {
+        assertFalse(admissionStage.admit(handover("r", 3, (int) limits.maxJournalBytes() / 2, NOW_MICROS), NOW_MICROS));
+        assertEquals(1, counters.get(Counter.JOURNAL_REFUSALS));
     }
 
     @Test
-    void aRepeatGetsTheAnswerOfTheFirst() {
-        Owed owed = booked("r");
-        assertFalse(admit.admit(handover("r", 3, 10, NOW), NOW));
-        book.ended(owed, Entry.End.DONE, 0);
-        admit.admit(handover("r", 3, 10, NOW), NOW);
-        book.ended(booked("b"), Entry.End.BOUNCED, 700);
-        admit.admit(handover("b", 3, 10, NOW), NOW);
-        book.ended(booked("t"), Entry.End.TERMINATED, 0);
-        admit.admit(handover("t", 3, 10, NOW), NOW);
+    void aDuplicateGetsTheAnswerOfTheOriginal() {
+        TrackedRecord owed = addRecord("r");
+        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        recordStore.endRecord(owed, Entry.End.DONE, 0);
+        admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS);
+        recordStore.endRecord(addRecord("b"), Entry.End.BOUNCED, 700);
+        admissionStage.admit(handover("b", 3, 10, NOW_MICROS), NOW_MICROS);
+        recordStore.endRecord(addRecord("t"), Entry.End.TERMINATED, 0);
+        admissionStage.admit(handover("t", 3, 10, NOW_MICROS), NOW_MICROS);
         assertEquals(List.of("taken", "delivered", "refused 700", "failed 500"), answers);
     }
 
     @Test
-    void theBookComesBackWithShotsAndEnds() throws IOException {
-        Owed open = booked("open");
-        Owed.Shot out = new Owed.Shot(0, 7, "s", 1, NOW);
+    void theRecordStoreIsRestoredWithShotsAndEnds() throws IOException {
+        TrackedRecord open = addRecord("open");
+        TrackedRecord.Shot out = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
         open.shots.add(out);
-        book.fired(open, out);
-        Owed over = booked("over");
-        book.ended(over, Entry.End.BOUNCED, 500);
-        Book again = reopened();
-        assertEquals(42, again.lastNumber());
-        assertNull(again.byId("open").shots.get(0).ending);
-        assertEquals(10, again.byId("open").taken.body().length);
-        assertEquals(Entry.End.BOUNCED, again.byId("over").end);
-        assertFalse(again.byId("over").told);
-        assertEquals(1, again.held());
+        recordStore.journalShot(open, out);
+        TrackedRecord over = addRecord("over");
+        recordStore.endRecord(over, Entry.End.BOUNCED, 500);
+        RecordStore again = reopenStore();
+        assertEquals(42, again.lastRecordNumber());
+        assertNull(again.findById("open").shots.get(0).ending);
+        assertEquals(10, again.findById("open").entry.body().length);
+        assertEquals(Entry.End.BOUNCED, again.findById("over").outcome);
+        assertFalse(again.findById("over").noticeSettled);
+        assertEquals(1, again.heldOrAdmittedCount());
     }
 
     @Test
-    void tidyingKeepsWhatIsOwedHoweverMuchWasWritten() throws IOException {
-        Owed kept = booked("kept");
+    void compactionKeepsOpenRecordsHoweverMuchWasWritten() throws IOException {
+        TrackedRecord kept = addRecord("kept");
         for (int i = 0; i < 3_000; i++) {
-            Owed passing = booked("passing" + i);
-            Owed.Shot shot = new Owed.Shot(0, 7, "s", 1, NOW);
+            TrackedRecord passing = addRecord("passing" + i);
+            TrackedRecord.Shot shot = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
             passing.shots.add(shot);
-            assertTrue(book.fired(passing, shot), "there is always room for a shot");
-            book.ended(passing, Entry.End.DONE, 0);
-            book.forget(NOW + 60_000_000, 0);
-            book.tidy();
+            assertTrue(recordStore.journalShot(passing, shot), "there is always room for a shot");
+            recordStore.endRecord(passing, Entry.End.DONE, 0);
+            recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
+            recordStore.compactIfNeeded();
         }
-        assertTrue(counters.of(Count.JOURNAL_COMPACTIONS) > 0);
-        assertTrue(journal.size() < limits.journalBytes());
-        assertEquals(kept.taken.id(), reopened().byId("kept").taken.id());
+        assertTrue(counters.get(Counter.JOURNAL_COMPACTIONS) > 0);
+        assertTrue(journal.size() < limits.maxJournalBytes());
+        assertEquals(kept.entry.id(), reopenStore().findById("kept").entry.id());
     }
 
     @Test
-    void tidyingComesBeforeRefusing() {
+    void compactionIsTriedBeforeARecordIsRefused() {
         int admitted = 0;
         for (int i = 0; i < 200; i++) {
-            admitted += book.roomFor(4_000) ? 1 : 0;
-            Owed passing = takeIn.take(handover("passing" + i, 3, 4_000, NOW));
-            assertTrue(book.taken(passing));
-            book.settled();
-            book.ended(passing, Entry.End.DONE, 0);
-            book.forget(NOW + 60_000_000, 0);
+            admitted += recordStore.tryReserve(4_000) ? 1 : 0;
+            TrackedRecord passing = intakeStage.createRecord(handover("passing" + i, 3, 4_000, NOW_MICROS));
+            assertTrue(recordStore.tryAdd(passing));
+            recordStore.clearReservations();
+            recordStore.endRecord(passing, Entry.End.DONE, 0);
+            recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
         }
         assertEquals(200, admitted);
     }
 
     @Test
-    void whatIsNotToldIsNotForgotten() {
-        Owed owed = booked("r");
-        book.ended(owed, Entry.End.TERMINATED, 0);
-        book.forget(NOW + 60_000_000, 0);
-        assertEquals(owed, book.byId("r"));
-        book.told(owed);
-        book.forget(NOW + 60_000_000, 0);
-        assertNull(book.byId("r"));
+    void anEndedRecordIsKeptUntilItsNoticeIsAnswered() {
+        TrackedRecord owed = addRecord("r");
+        recordStore.endRecord(owed, Entry.End.TERMINATED, 0);
+        recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
+        assertEquals(owed, recordStore.findById("r"));
+        recordStore.settleNotice(owed);
+        recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
+        assertNull(recordStore.findById("r"));
     }
 
     @Test
-    void anAnswerIsReadAsTheProtocolSays() {
-        assertEquals(Ending.DONE, Send.ending(new Call.Result(200, null, 0, false, null, null)));
-        assertEquals(Ending.FULL, Send.ending(new Call.Result(429, null, 5, false, null, null)));
-        assertEquals(Ending.FULL, Send.ending(new Call.Result(503, null, 0, false, null, null)));
-        assertEquals(Ending.NOT_SENT, Send.ending(new Call.Result(503, null, 0, true, null, null)));
-        assertEquals(Ending.CROWDED, Send.ending(new Call.Result(503, null, 0, false, null, null, true)));
-        assertEquals(Ending.FULL, Send.ending(new Call.Result(503, null, 5, false, null, null, true)));
-        assertEquals(Ending.FULL, Send.ending(new Call.Result(429, null, 0, false, null, null, true)));
-        assertEquals(Ending.NOT_SENT, Send.ending(new Call.Result(410, null, 0, false, null, null)));
-        assertEquals(Ending.NOT_SENT, Send.ending(new Call.Result(504, null, 0, false, null, null)));
+    void anAnswerIsMappedToTheEndingThatTheProtocolDefines() {
+        assertEquals(Ending.DONE, SendStage.toEnding(new Call.Result(200, null, 0, false, null, null)));
+        assertEquals(Ending.FULL, SendStage.toEnding(new Call.Result(429, null, 5, false, null, null)));
+        assertEquals(Ending.FULL, SendStage.toEnding(new Call.Result(503, null, 0, false, null, null)));
+        assertEquals(Ending.NOT_SENT, SendStage.toEnding(new Call.Result(503, null, 0, true, null, null)));
+        assertEquals(Ending.CROWDED, SendStage.toEnding(new Call.Result(503, null, 0, false, null, null, true)));
+        assertEquals(Ending.FULL, SendStage.toEnding(new Call.Result(503, null, 5, false, null, null, true)));
+        assertEquals(Ending.FULL, SendStage.toEnding(new Call.Result(429, null, 0, false, null, null, true)));
+        assertEquals(Ending.NOT_SENT, SendStage.toEnding(new Call.Result(410, null, 0, false, null, null)));
+        assertEquals(Ending.NOT_SENT, SendStage.toEnding(new Call.Result(504, null, 0, false, null, null)));
         for (int status : new int[] {100, 204, 302, 400, 404, 500, 599}) {
-            assertEquals(Ending.ERROR, Send.ending(new Call.Result(status, null, 0, false, null, null)));
+            assertEquals(Ending.ERROR, SendStage.toEnding(new Call.Result(status, null, 0, false, null, null)));
         }
-        assertEquals(Ending.RESET, Send.ending(new Call.Result(0, Ending.RESET, 0, false, null, null)));
+        assertEquals(Ending.RESET, SendStage.toEnding(new Call.Result(0, Ending.RESET, 0, false, null, null)));
     }
 
     @Test
-    void aReportIsWholeAndInPlainFiguresOrNone() {
+    void aReportWithMissingOrInvalidFiguresIsDiscarded() {
         List<String> fields = List.of("x0", "x1");
-        assertEquals(List.of(0.4f, 25f), floats(Send.report("x1=25, x0=0.4", fields)));
+        assertEquals(List.of(0.4f, 25f), toList(SendStage.parseReport("x1=25, x0=0.4", fields)));
         for (String spoilt : List.of("", "x0=0.4", "x0=0.4,x1=NaN", "x0=0.4,x1=-1", "x0=Infinity,x1=2", "x0=0.4,x1", "=,,=")) {
-            assertEquals(List.of(), floats(Send.report(spoilt, fields)), spoilt);
+            assertEquals(List.of(), toList(SendStage.parseReport(spoilt, fields)), spoilt);
         }
     }
 
-    private static List<Float> floats(float[] values) {
+    private static List<Float> toList(float[] values) {
         List<Float> list = new ArrayList<>();
         for (float value : values) {
             list.add(value);
@@ -270,36 +270,36 @@
 
     @Test
     void aNoticeIsOneLineOfJson() {
-        Owed owed = booked("a\"b\\c\u0007");
-        book.ended(owed, Entry.End.BOUNCED, 500_000);
-        assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}", Relay.line(owed));
+        TrackedRecord owed = addRecord("a\"b\\c\u0007");
+        recordStore.endRecord(owed, Entry.End.BOUNCED, 500_000);
+        assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}", NotificationStage.formatNotice(owed));
     }
 
     @Test
-    void hundredsOfNoticesGoInOneCallAndNoMoreThanABodyHolds() {
-        List<Owed> owing = new ArrayList<>();
+    void aNoticeBatchIsFilledUpToTheBodyLimit() {
+        List<TrackedRecord> owing = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            Owed owed = takeIn.take(handover(String.format("%016x", i), 3, 1, NOW));
-            owed.end = Entry.End.BOUNCED;
+            TrackedRecord owed = intakeStage.createRecord(handover(String.format("%016x", i), 3, 1, NOW_MICROS));
+            owed.outcome = Entry.End.BOUNCED;
             owing.add(owed);
         }
         StringBuilder lines = new StringBuilder();
-        List<Owed> batch = Relay.batch(owing, Integer.MAX_VALUE, limits.bodyBytes(), lines);
+        List<TrackedRecord> batch = NotificationStage.nextBatch(owing, Integer.MAX_VALUE, limits.maxBodyBytes(), lines);
         assertTrue(batch.size() > 800, "in one call: " + batch.size());
-        assertTrue(lines.length() <= limits.bodyBytes() && lines.length() > limits.bodyBytes() - 100);
+        assertTrue(lines.length() <= limits.maxBodyBytes() && lines.length() > limits.maxBodyBytes() - 100);
         assertEquals(owing.subList(0, batch.size()), batch);
-        assertEquals(3, Relay.batch(owing, 3, limits.bodyBytes(), new StringBuilder()).size());
-        assertEquals(1, Relay.batch(owing, 3, 10, new StringBuilder()).size(), "one goes, however long");
+        assertEquals(3, NotificationStage.nextBatch(owing, 3, limits.maxBodyBytes(), new StringBuilder()).size());
+        assertEquals(1, NotificationStage.nextBatch(owing, 3, 10, new StringBuilder()).size(), "one goes, however long");
     }
 
     @Test
     void timersRunInOrderOfTime() {
-        Timers timers = new Timers();
-        timers.at(20, () -> answers.add("second"));
-        timers.at(10, () -> answers.add("first"));
-        timers.at(30, () -> answers.add("third"));
-        timers.run(20);
+        TimerQueue timers = new TimerQueue();
+        timers.schedule(20, () -> answers.add("second"));
+        timers.schedule(10, () -> answers.add("first"));
+        timers.schedule(30, () -> answers.add("third"));
+        timers.runDue(20);
         assertEquals(List.of("first", "second"), answers);
-        assertEquals(30, timers.first(100));
+        assertEquals(30, timers.nextDueAt(100));
     }
 }
