--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -8,7 +8,7 @@
 
 import terndyke.api.Event;
 import terndyke.node.discovery.Catalogue;
-import terndyke.node.http.Door;
+import terndyke.node.http.ClientRequestHandler;
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Entry;
 import terndyke.node.journal.Journal;
@@ -24,7 +24,7 @@
     private final Counters counters = new Counters();
     private Reactor reactor;
     private Journal journal;
-    private volatile Door requestHandler; // the last part to come at the start
+    private volatile ClientRequestHandler requestHandler; // the last part to come at the start
     private volatile DecisionLoop decisionLoop;
     private Thread decisionThread;
     private volatile boolean ready;
@@ -67,7 +67,7 @@
         decisionLoop.restore(known, owed);
         decisionThread = new Thread(decisionLoop, "terndyke-desk");
         decisionThread.start();
-        requestHandler = new Door(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now, () -> ready && !shuttingDown,
+        requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now, () -> ready && !shuttingDown,
                 decisionLoop::offerRequest, handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
         reactor.listen(configuration.listenAddress(), requestHandler);
         WarmUp.warmUpHttp(configuration, reactor, clock, configuration.listenAddress(), limits.warmUpTimeoutMicros());
@@ -118,7 +118,7 @@
             return;
         }
         shuttingDown = true;
-        requestHandler.closing();
+        requestHandler.startClosing();
         decisionLoop.post(new LoopEvent.ShutdownRequested());
         try {
             decisionThread.join(configuration.limits().shutdownGracePeriodMicros() / 1000 + 200);
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -11,7 +11,7 @@
 import terndyke.adapter.TermsReader;
 import terndyke.adapter.WireException;
 import terndyke.api.DeliverySettings;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 
 /** What a node is told at its start: who and where it is, what it may use, and the delivery terms. */
 public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, Path stateDirectory, Limits limits,
@@ -68,7 +68,7 @@
     }
 
     private static InetSocketAddress parseAddress(String text, String what) throws IOException {
-        InetSocketAddress address = Calls.address(text);
+        InetSocketAddress address = ConnectionPool.parseAddress(text);
         if (address == null) {
             throw new IOException("the " + what + " address cannot be read: " + text);
         }
--- a/src/main/java/terndyke/node/WarmUp.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -14,7 +14,7 @@
 import terndyke.api.ListedEndpoint;
 import terndyke.decision.Dispatcher;
 import terndyke.node.http.Call;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.Reactor;
 
 /**
@@ -71,25 +71,25 @@
     /** The node asks itself for its health, which it answers as it does anybody. */
     static void warmUpHttp(NodeConfiguration charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
         BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
-        BlockingQueue<Calls.Line> free = new LinkedBlockingQueue<>();
-        Calls calls = new Calls(reactor, charter.limits(), new Counters(), clock::now, free::add);
-        Calls.Peer peer = new Calls.Peer(self);
-        Call call = new Call("GET", "/_health", new String[] {"Host", peer.host()}, new byte[0]);
+        BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
+        ConnectionPool calls = new ConnectionPool(reactor, charter.limits(), new Counters(), clock::now, free::add);
+        ConnectionPool.Peer peer = new ConnectionPool.Peer(self);
+        Call call = new Call("GET", "/_health", new String[] {"Host", peer.hostHeader()}, new byte[0]);
         long until = System.nanoTime() + within * 1000;
         try {
             for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < until; i++) {
-                Calls.Line line = calls.start(peer, call, clock.now(), results::add);
+                ConnectionPool.PooledConnection line = calls.startCall(peer, call, clock.now(), results::add);
                 if (line == null || results.poll(within, TimeUnit.MICROSECONDS) == null) {
                     break;
                 }
                 line = free.poll(within, TimeUnit.MICROSECONDS);
                 if (line != null) {
-                    calls.free(line, clock.now());
+                    calls.release(line, clock.now());
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        calls.left(peer);
+        calls.removePeer(peer);
     }
 }
--- a/src/main/java/terndyke/node/discovery/Catalogue.java
+++ b/src/main/java/terndyke/node/discovery/Catalogue.java
@@ -16,7 +16,7 @@
 import terndyke.api.ListedEndpoint;
 import terndyke.api.ListedEndpoint.EndpointState;
 import terndyke.node.FlatJson;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 
 /** The list of endpoints as discovery told it: numbers for the module, addresses for the calls. */
 public final class Catalogue {
@@ -26,7 +26,7 @@
     private final Map<Long, Member> byNumber = new HashMap<>();
     private final Map<Integer, AtomicLong> destinations = new HashMap<>(); // and when one last told a wait
     private final Set<Member> gone = new LinkedHashSet<>(); // longest first
-    private final List<Calls.Peer> left = new ArrayList<>();
+    private final List<ConnectionPool.Peer> left = new ArrayList<>();
     private long version;
     private long lastNumber = -1;
 
@@ -35,7 +35,7 @@
         private final String uid;
         private final long number;
         private ListedEndpoint listed;
-        private Calls.Peer peer;
+        private ConnectionPool.Peer peer;
         private long goneAt;
 
         private Member(String uid, long number) {
@@ -59,7 +59,7 @@
             return listed.zone();
         }
 
-        public Calls.Peer peer() {
+        public ConnectionPool.Peer peer() {
             return peer;
         }
     }
@@ -124,8 +124,8 @@
     }
 
     /** Who has left its address since the last call. */
-    public List<Calls.Peer> left() {
-        List<Calls.Peer> since = List.copyOf(left);
+    public List<ConnectionPool.Peer> left() {
+        List<ConnectionPool.Peer> since = List.copyOf(left);
         left.clear();
         return since;
     }
@@ -153,7 +153,7 @@
 
     private ListedEndpoint entry(Map<String, String> told, String at, long now, List<ListedEndpoint> entries) {
         String uid = told.get(at + "uid");
-        InetSocketAddress address = Calls.address(told.get(at + "endpoint"));
+        InetSocketAddress address = ConnectionPool.parseAddress(told.get(at + "endpoint"));
         EndpointState standing = switch (String.valueOf(told.get(at + "state"))) {
             case "active" -> EndpointState.READY;
             case "leaving" -> EndpointState.DRAINING;
@@ -176,13 +176,13 @@
         member.listed = new ListedEndpoint(member.number, Math.max(0, zones.indexOf(told.get(at + "az"))),
                 Math.max(0, kinds.indexOf(told.get(at + "model"))), Float.isFinite(rate) ? rate : 0, standing,
                 Long.parseLong(told.getOrDefault(at + "boot_ms", "0")) * 1000, destination);
-        Calls.Peer was = member.peer;
+        ConnectionPool.Peer was = member.peer;
         boolean moved = address != null && (was == null || !was.address().equals(address) || gone.contains(member));
         if (was != null && moved) {
             left.add(was);
         }
         AtomicLong toldAt = destinations.computeIfAbsent(destination, number -> new AtomicLong());
-        member.peer = moved ? new Calls.Peer(address, toldAt) : was;
+        member.peer = moved ? new ConnectionPool.Peer(address, toldAt) : was;
         gone.remove(member);
         if (standing == EndpointState.GONE) {
             leave(member, now);
--- a/src/main/java/terndyke/node/discovery/Watch.java
+++ b/src/main/java/terndyke/node/discovery/Watch.java
@@ -11,7 +11,7 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 import terndyke.node.http.Call;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 
 /**
  * Follows discovery's list: the next call leaves as soon as the last one is answered. Silence on a watch is a break. The
@@ -26,12 +26,12 @@
     private static final byte[] NOTHING = new byte[0];
 
     private final Limits limits;
-    private Calls.Peer discovery;
+    private ConnectionPool.Peer discovery;
     private final Catalogue catalogue;
-    private final Calls calls;
+    private final ConnectionPool calls;
     private final NodeLog log;
     private final BiConsumer<Long, Call.Result> whenAnswered;
-    private Calls.Line line;
+    private ConnectionPool.PooledConnection line;
     private long round;
     private long dueAt; // when the call that is out has waited too long, or the next one may leave
     private boolean out;
@@ -44,12 +44,12 @@
     private int breaks; // in a row
     private final Random chance; // nodes that broke together do not come back together
 
-    public Watch(Limits limits, InetSocketAddress discovery, Catalogue catalogue, Calls calls, NodeLog log,
+    public Watch(Limits limits, InetSocketAddress discovery, Catalogue catalogue, ConnectionPool calls, NodeLog log,
             boolean onRequest, Random chance, BiConsumer<Long, Call.Result> whenAnswered) {
         this.onRequest = onRequest;
         this.chance = chance;
         this.limits = limits;
-        this.discovery = Calls.Peer.platform(discovery);
+        this.discovery = ConnectionPool.Peer.forPlatform(discovery);
         this.catalogue = catalogue;
         this.calls = calls;
         this.log = log;
@@ -59,7 +59,7 @@
     /** Keeps the watch going, once the answers that have come by now have been taken in. */
     public void keep(long now) {
         if (now >= dueAt && out) {
-            calls.cancel(line);
+            calls.cancelCall(line);
             out = false;
             afresh = true;
             broke("no answer from discovery; the list stays in force");
@@ -118,11 +118,11 @@
     public void moveTo(InetSocketAddress address) {
         if (!address.equals(discovery.address())) {
             if (out) {
-                calls.cancel(line);
+                calls.cancelCall(line);
                 out = false;
             }
-            calls.left(discovery);
-            discovery = Calls.Peer.platform(address);
+            calls.removePeer(discovery);
+            discovery = ConnectionPool.Peer.forPlatform(address);
             afresh = true;
             dueAt = 0;
         }
@@ -132,7 +132,7 @@
         String path = "/catalog/members" + (afresh ? ""
                 : "?after=" + catalogue.version() + "&wait_ms=" + limits.watchWaitMicros() / 1000);
         long sent = ++round;
-        line = calls.start(discovery, new Call("GET", path, new String[] {"Host", discovery.host()}, NOTHING),
+        line = calls.startCall(discovery, new Call("GET", path, new String[] {"Host", discovery.hostHeader()}, NOTHING),
                 now, result -> whenAnswered.accept(sent, result));
         out = line != null;
         dueAt = now + (!out ? limits.retryDelayMicros() : afresh ? patience() : limits.watchWaitMicros() + limits.watchSlackMicros());
--- a/src/main/java/terndyke/node/http/Handover.java
+++ b/src/main/java/terndyke/node/http/ClientRequest.java
@@ -4,11 +4,11 @@
  * A record as a client hands it in, decoded once. Key 0 means none, mark is null where there is none; remaining is in
  * whole microseconds from readAt, which is on the node's clock.
  */
-public record Handover(String id, int grade, int tenant, long key, int destination, String mark, long remaining,
-        boolean again, boolean fromDeadNode, byte[] body, long readAt, Answer answer) {
+public record ClientRequest(String id, int grade, int tenant, long key, int destination, String idempotencyKey, long timeoutMicros,
+        boolean clientRetry, boolean fromDeadNode, byte[] body, long receivedAt, Responder responder) {
 
     /** How a client hears what became of its request; every method may be called from any thread. */
-    public interface Answer {
+    public interface Responder {
 
         /** Taken on: from now on the node owes the record its end. */
         void taken();
--- a/src/main/java/terndyke/node/http/Door.java
+++ b/src/main/java/terndyke/node/http/ClientRequestHandler.java
@@ -28,79 +28,79 @@
 import terndyke.node.Limits;
 
 /** The clients' door: decodes each request once and hands it over, or answers it where it cannot be read. */
-public final class Door {
+public final class ClientRequestHandler {
     private final Limits limits;
     private final Counters counters;
     private final List<String> grades;
     private final List<String> tenants;
     private final LongSupplier clock;
-    private final Predicate<Handover> handOver;
-    private final Consumer<Handover> whenLeft;
-    private final Supplier<Boolean> ready;
+    private final Predicate<ClientRequest> submitRequest;
+    private final Consumer<ClientRequest> disconnectListener;
+    private final Supplier<Boolean> readinessCheck;
     private volatile boolean closing;
 
-    public Door(Limits limits, Counters counters, List<String> grades, List<String> tenants, LongSupplier clock,
-            Supplier<Boolean> ready, Predicate<Handover> handOver,
-            Consumer<Handover> whenLeft) {
+    public ClientRequestHandler(Limits limits, Counters counters, List<String> grades, List<String> tenants, LongSupplier clock,
+            Supplier<Boolean> ready, Predicate<ClientRequest> handOver,
+            Consumer<ClientRequest> whenLeft) {
         this.limits = limits;
         this.counters = counters;
         this.grades = grades;
         this.tenants = tenants;
         this.clock = clock;
-        this.ready = ready;
-        this.handOver = handOver;
-        this.whenLeft = whenLeft;
+        this.readinessCheck = ready;
+        this.submitRequest = handOver;
+        this.disconnectListener = whenLeft;
     }
 
     /** From now on each answer asks the client to close its connection. */
-    public void closing() {
+    public void startClosing() {
         closing = true;
     }
 
     /** A handler for one request. */
-    AsyncServerExchangeHandler exchange(Visits.Visit visit, boolean crowded) {
+    AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection visit, boolean crowded) {
         return new Exchange(visit, crowded);
     }
 
-    private final class Exchange implements AsyncServerExchangeHandler, Handover.Answer {
+    private final class Exchange implements AsyncServerExchangeHandler, ClientRequest.Responder {
         private HttpRequest request;
-        private ResponseChannel channel;
+        private ResponseChannel responseChannel;
         private HttpContext context;
-        private ByteBuffer body = ByteBuffer.allocate(0);
-        private ByteBuffer text;
+        private ByteBuffer requestBody = ByteBuffer.allocate(0);
+        private ByteBuffer responseBody;
         private boolean tooLarge;
-        private long passedOver; // bytes of a body that nobody wants
-        private final AtomicBoolean answered = new AtomicBoolean(); // by the desk, or the client has left
-        private Handover handover;
-        private final Visits.Visit visit;
-        private final boolean crowded;
-
-        Exchange(Visits.Visit visit, boolean crowded) {
-            this.visit = visit;
-            this.crowded = crowded;
+        private long discardedBytes; // bytes of a body that nobody wants
+        private final AtomicBoolean responseSettled = new AtomicBoolean(); // by the desk, or the client has left
+        private ClientRequest clientRequest;
+        private final ClientConnections.ClientConnection clientConnection;
+        private final boolean overCapacity;
+
+        Exchange(ClientConnections.ClientConnection visit, boolean crowded) {
+            this.clientConnection = visit;
+            this.overCapacity = crowded;
         }
 
         @Override
         public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel responses, HttpContext with)
                 throws HttpException, IOException {
             request = head;
-            channel = responses;
+            responseChannel = responses;
             context = with;
             if (entity != null && entity.getContentLength() > limits.maxBodyBytes()) {
-                tooLarge();
+                rejectTooLarge();
             } else if (entity == null) {
-                whole();
+                processRequest();
             } else if (head.containsHeader("Expect")) {
-                channel.sendInformation(new BasicHttpResponse(100), context);
+                responseChannel.sendInformation(new BasicHttpResponse(100), context);
             }
         }
 
-        private void tooLarge() {
+        private void rejectTooLarge() {
             if (!tooLarge) {
                 tooLarge = true;
-                body = ByteBuffer.allocate(0);
+                requestBody = ByteBuffer.allocate(0);
                 counters.add(Counter.TOO_LARGE);
-                send(413, 0, true, null);
+                sendResponse(413, 0, true, null);
             }
         }
 
@@ -111,46 +111,46 @@
 
         @Override
         public void consume(ByteBuffer source) {
-            if (!tooLarge && body.position() + source.remaining() > limits.maxBodyBytes()) {
-                tooLarge();
+            if (!tooLarge && requestBody.position() + source.remaining() > limits.maxBodyBytes()) {
+                rejectTooLarge();
             }
             if (tooLarge) {
-                passedOver += source.remaining();
+                discardedBytes += source.remaining();
                 source.position(source.limit());
-                if (passedOver > limits.maxDiscardedBodyBytes()) { // its answer has long gone out
-                    visit.close();
+                if (discardedBytes > limits.maxDiscardedBodyBytes()) { // its answer has long gone out
+                    clientConnection.close();
                 }
             } else {
-                if (body.remaining() < source.remaining()) {
-                    body = ByteBuffer.allocate(Math.max(2 * body.capacity(), body.position() + source.remaining()))
-                            .put(body.flip());
+                if (requestBody.remaining() < source.remaining()) {
+                    requestBody = ByteBuffer.allocate(Math.max(2 * requestBody.capacity(), requestBody.position() + source.remaining()))
+                            .put(requestBody.flip());
                 }
-                body.put(source);
+                requestBody.put(source);
             }
         }
 
         @Override
         public void streamEnd(List<? extends Header> trailers) {
             if (!tooLarge) {
-                whole();
+                processRequest();
             }
         }
 
-        private void whole() {
-            visit.whole();
+        private void processRequest() {
+            clientConnection.onRequestComplete();
             String path = request.getPath();
             if (request.getMethod().equals("GET")) {
                 switch (path) {
-                    case "/_health" -> send(ready.get() ? 200 : 503, 0, false, null);
-                    case "/_counters" -> send(200, 0, false, counters.toString());
-                    default -> send(404, 0, false, null);
+                    case "/_health" -> sendResponse(readinessCheck.get() ? 200 : 503, 0, false, null);
+                    case "/_counters" -> sendResponse(200, 0, false, counters.toString());
+                    default -> sendResponse(404, 0, false, null);
                 }
                 return;
             }
             counters.add(Counter.REQUESTS_IN);
             try {
-                handover = decode(path);
-                Counter why = refusal();
+                clientRequest = decodeRequest(path);
+                Counter why = submitAndGetRefusal();
                 if (why != null) {
                     counters.add(Counter.REFUSED_AT_DOOR);
                     counters.add(why);
@@ -158,22 +158,22 @@
                 }
             } catch (IllegalArgumentException e) {
                 counters.add(Counter.MALFORMED);
-                send(request.getMethod().equals("POST") ? 400 : 405, 0, false, e.getMessage() + "\n");
+                sendResponse(request.getMethod().equals("POST") ? 400 : 405, 0, false, e.getMessage() + "\n");
             }
         }
 
         /** Hands the message over; why it is refused, or null where it is not. */
-        private Counter refusal() {
-            if (crowded) {
+        private Counter submitAndGetRefusal() {
+            if (overCapacity) {
                 return Counter.REFUSED_CROWDED;
             }
-            if (visit.floods()) {
+            if (clientConnection.hasTooManyPendingRequests()) {
                 return Counter.REFUSED_FLOODING;
             }
-            return handOver.test(handover) ? null : Counter.REFUSED_INBOX_FULL;
+            return submitRequest.test(clientRequest) ? null : Counter.REFUSED_INBOX_FULL;
         }
 
-        private Handover decode(String path) {
+        private ClientRequest decodeRequest(String path) {
             if (!request.getMethod().equals("POST")) {
                 throw new IllegalArgumentException("only POST hands a record in");
             }
@@ -184,31 +184,31 @@
             if (grade < 0) {
                 throw new IllegalArgumentException("unknown service grade");
             }
-            String id = one("Request-Id");
-            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars() || !id.chars().allMatch(Door::plain)) {
+            String id = singleHeader("Request-Id");
+            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars() || !id.chars().allMatch(ClientRequestHandler::isVisibleAscii)) {
                 throw new IllegalArgumentException("Request-Id is missing, too long or not plain");
             }
-            int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(one("Tenant"));
+            int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(singleHeader("Tenant"));
             if (tenant < 0) {
                 throw new IllegalArgumentException("unknown tenant");
             }
-            long remaining = number(one("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.maxRecordTimeoutMicros() / 1000);
-            String consignee = one("X-Consignee");
-            String dest = consignee == null ? null : field(consignee, "dest", ",|;|\\s");
-            long destination = number(dest, "X-Consignee", 1 << 24);
-            String retry = one("Client-Retry");
-            String mark = one("Idempotency-Key");
-            if (mark != null && (mark.length() > limits.maxIdChars() || !mark.chars().allMatch(Door::plain))) {
+            long remaining = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.maxRecordTimeoutMicros() / 1000);
+            String consignee = singleHeader("X-Consignee");
+            String dest = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
+            long destination = parseNumber(dest, "X-Consignee", 1 << 24);
+            String retry = singleHeader("Client-Retry");
+            String mark = singleHeader("Idempotency-Key");
+            if (mark != null && (mark.length() > limits.maxIdChars() || !mark.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
                 throw new IllegalArgumentException("Idempotency-Key is too long or not plain");
             }
-            byte[] content = new byte[body.flip().remaining()];
-            body.get(content);
-            return new Handover(id, grade, tenant, key(), (int) destination, mark,
+            byte[] content = new byte[requestBody.flip().remaining()];
+            requestBody.get(content);
+            return new ClientRequest(id, grade, tenant, parseKey(), (int) destination, mark,
                     remaining * 1000, retry != null, "again".equals(retry), content, clock.getAsLong(), this);
         }
 
         /** The value of a header that may come once, or null where it is not there. */
-        private String one(String name) {
+        private String singleHeader(String name) {
             Header[] headers = request.getHeaders(name);
             if (headers.length > 1) {
                 throw new IllegalArgumentException(name + " comes more than once");
@@ -216,7 +216,7 @@
             return headers.length == 0 ? null : String.valueOf(headers[0].getValue()).strip();
         }
 
-        private long number(String text, String name, long most) {
+        private long parseNumber(String text, String name, long most) {
             long value = text == null || !text.matches("\\d{1,15}") ? -1 : Long.parseLong(text);
             if (value < 0 || value > most) {
                 throw new IllegalArgumentException(name + " is missing or not a number in range");
@@ -224,56 +224,56 @@
             return value;
         }
 
-        private long key() {
-            String cookie = one("Cookie");
-            String key = cookie == null ? null : field(cookie, "key", ";");
-            return key == null || key.isEmpty() ? 0 : keyNumber(key);
+        private long parseKey() {
+            String cookie = singleHeader("Cookie");
+            String key = cookie == null ? null : parseField(cookie, "key", ";");
+            return key == null || key.isEmpty() ? 0 : toKeyNumber(key);
         }
 
         @Override
         public void taken() {
-            send(202, 0, false, null);
+            sendResponse(202, 0, false, null);
         }
 
         @Override
         public void delivered() {
-            send(200, 0, false, null);
+            sendResponse(200, 0, false, null);
         }
 
         @Override
         public void refused(long after) {
-            send(503, after, false, null);
+            sendResponse(503, after, false, null);
         }
 
         @Override
         public void failed(int status) {
-            send(status, 0, false, null);
+            sendResponse(status, 0, false, null);
         }
 
-        private void send(int status, long retryAfter, boolean close, String content) {
-            if (!answered.compareAndSet(false, true)) {
+        private void sendResponse(int status, long retryAfter, boolean close, String content) {
+            if (!responseSettled.compareAndSet(false, true)) {
                 return;
             }
             BasicHttpResponse response = new BasicHttpResponse(status);
             if (retryAfter > 0) {
-                response.addHeader("Retry-After", seconds(retryAfter));
+                response.addHeader("Retry-After", formatSeconds(retryAfter));
             }
-            if (close || closing || crowded) {
+            if (close || closing || overCapacity) {
                 response.addHeader("Connection", "close");
             }
-            text = content == null ? null : ByteBuffer.wrap(content.getBytes(StandardCharsets.UTF_8));
-            response.addHeader("Content-Length", text == null ? 0 : text.remaining());
+            responseBody = content == null ? null : ByteBuffer.wrap(content.getBytes(StandardCharsets.UTF_8));
+            response.addHeader("Content-Length", responseBody == null ? 0 : responseBody.remaining());
             if (DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context)) {
-                write(response);
+                writeResponse(response);
             } else {
-                visit.answerAndClose(() -> write(response));
+                clientConnection.respondAndClose(() -> writeResponse(response));
             }
         }
 
-        private void write(BasicHttpResponse response) {
+        private void writeResponse(BasicHttpResponse response) {
             try {
-                channel.sendResponse(response, text == null ? null
-                        : new BasicEntityDetails(text.remaining(), null), context);
+                responseChannel.sendResponse(response, responseBody == null ? null
+                        : new BasicEntityDetails(responseBody.remaining(), null), context);
             } catch (HttpException | IOException e) {
                 failed(e);
             }
@@ -281,23 +281,23 @@
 
         @Override
         public int available() {
-            return text == null ? 0 : text.remaining();
+            return responseBody == null ? 0 : responseBody.remaining();
         }
 
         @Override
         public void produce(DataStreamChannel out) throws IOException {
-            if (text != null && text.hasRemaining()) {
-                out.write(text);
+            if (responseBody != null && responseBody.hasRemaining()) {
+                out.write(responseBody);
             }
-            if (text == null || !text.hasRemaining()) {
+            if (responseBody == null || !responseBody.hasRemaining()) {
                 out.endStream(null);
             }
         }
 
         @Override
         public void failed(Exception cause) {
-            if (handover != null && answered.compareAndSet(false, true)) {
-                whenLeft.accept(handover);
+            if (clientRequest != null && responseSettled.compareAndSet(false, true)) {
+                disconnectListener.accept(clientRequest);
             }
         }
 
@@ -307,17 +307,17 @@
         }
     }
 
-    static String seconds(long micros) {
+    static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    private static boolean plain(int character) {
+    private static boolean isVisibleAscii(int character) {
         return character > ' ' && character < 0x7f;
     }
 
     /** The value of one name in a list of name=value pairs, or null; it may come once. */
-    static String field(String pairs, String name, String apart) {
+    static String parseField(String pairs, String name, String apart) {
         String value = null;
         for (String pair : pairs.split(apart)) {
             String[] sides = pair.strip().split("=", 2);
@@ -332,7 +332,7 @@
     }
 
     /** A key as the module knows it: 16 hexadecimal digits as they are, anything else by its hash; never 0. */
-    static long keyNumber(String key) {
+    static long toKeyNumber(String key) {
         long number = 0xcbf29ce484222325L;
         if (key.length() == 16 && key.matches("[0-9a-fA-F]+")) {
             number = Long.parseUnsignedLong(key, 16);
--- a/src/main/java/terndyke/node/http/WholeLines.java
+++ b/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
@@ -12,10 +12,10 @@
  * A connection's input in which a line ends by its line end alone. The library also ends it where the input ends, so that a
  * status line, a header or a chunk size that breaks off would count as a whole one.
  */
-class WholeLines implements SessionInputBuffer {
+class CompleteLinesInputBuffer implements SessionInputBuffer {
     private final SessionInputBuffer input;
 
-    WholeLines(SessionInputBuffer input) {
+    CompleteLinesInputBuffer(SessionInputBuffer input) {
         this.input = input;
     }
 
--- a/src/main/java/terndyke/node/http/Calls.java
+++ b/src/main/java/terndyke/node/http/ConnectionPool.java
@@ -47,22 +47,22 @@
  * The node's own connections, one call at a time on each. All methods belong to one thread, the owner's; what comes
  * back goes to the sinks on the I/O thread, and lines that are free again come back through the given hand.
  */
-public final class Calls {
+public final class ConnectionPool {
     private final Reactor reactor;
     private final Limits limits;
     private final Counters counters;
     private final LongSupplier clock;
-    private final Consumer<Line> whenFree;
-    private final Map<Peer, Deque<Line>> idle = new HashMap<>();
-    private final Set<Line> busy = new HashSet<>(); // with a call on them
-    private int open;
+    private final Consumer<PooledConnection> releaseListener;
+    private final Map<Peer, Deque<PooledConnection>> idleConnections = new HashMap<>();
+    private final Set<PooledConnection> busyConnections = new HashSet<>(); // with a call on them
+    private int openCount;
 
-    public Calls(Reactor reactor, Limits limits, Counters counters, LongSupplier clock, Consumer<Line> whenFree) {
+    public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock, Consumer<PooledConnection> whenFree) {
         this.reactor = reactor;
         this.limits = limits;
         this.counters = counters;
         this.clock = clock;
-        this.whenFree = whenFree;
+        this.releaseListener = whenFree;
     }
 
     /**
@@ -71,17 +71,17 @@
      */
     public static final class Peer {
         private final InetSocketAddress address;
-        private final AtomicLong toldAt; // when a wait was last told by a peer of the same destination
-        private boolean always; // it gets a connection though all places are taken
-        private boolean gone;
+        private final AtomicLong retryAfterReceivedAt; // when a wait was last told by a peer of the same destination
+        private boolean exemptFromLimit; // it gets a connection though all places are taken
+        private boolean removed;
 
         /**
          * The platform, whose few calls never wait for a place: guards notices and the watch against endpoints that
          * take all places by keeping silent. The room for these connections is kept apart in the limits.
          */
-        public static Peer platform(InetSocketAddress address) {
+        public static Peer forPlatform(InetSocketAddress address) {
             Peer peer = new Peer(address);
-            peer.always = true;
+            peer.exemptFromLimit = true;
             return peer;
         }
 
@@ -92,7 +92,7 @@
         /** One of several that tell their waits for all. */
         public Peer(InetSocketAddress address, AtomicLong toldAt) {
             this.address = address;
-            this.toldAt = toldAt;
+            this.retryAfterReceivedAt = toldAt;
         }
 
         public InetSocketAddress address() {
@@ -100,7 +100,7 @@
         }
 
         /** As a Host header names it. */
-        public String host() {
+        public String hostHeader() {
             return address.getHostString() + ":" + address.getPort();
         }
     }
@@ -110,63 +110,63 @@
      * connection goes, and the earlier answer stands. Guards against second copies of an answer and noise behind it,
      * which would else be taken for the answer to the next call; covers endpoints that close or go mad while idle.
      */
-    public final class Line {
+    public final class PooledConnection {
         private final Peer peer;
         private volatile IOSession session;
-        private volatile HttpConnection connection;
-        private volatile boolean dropped;
-        private Future<IOSession> coming;
+        private volatile HttpConnection httpConnection;
+        private volatile boolean discarded;
+        private Future<IOSession> pendingConnect;
         private volatile Exchange exchange;
-        private volatile boolean last; // the other side closes it
+        private volatile boolean closeAfterCall; // the other side closes it
         private long idleSince;
-        private volatile long due = Long.MAX_VALUE; // bytes that the calls so far come to
-        private boolean counted = true;
-        private AnswerHeads heads;
-        private boolean inInput;
+        private volatile long requestEndOffset = Long.MAX_VALUE; // bytes that the calls so far come to
+        private boolean countedAsOpen = true;
+        private ResponseHeadParser responseParser;
+        private boolean readingInput;
         private boolean firstCall = true; // the one that is on it is its first
 
-        private Line(Peer peer) {
+        private PooledConnection(Peer peer) {
             this.peer = peer;
         }
 
         /** The reader of this connection's answers. */
-        AnswerHeads heads(Http1Config http) {
-            heads = new AnswerHeads(http, new AnswerHeads.Listener() {
+        ResponseHeadParser createResponseParser(Http1Config http) {
+            responseParser = new ResponseHeadParser(http, new ResponseHeadParser.Listener() {
                 @Override
-                public void firstLine(int status) {
+                public void onStatusLine(int status) {
                     if (exchange != null) {
-                        exchange.firstLine(status);
+                        exchange.onStatusLine(status);
                     }
                 }
 
                 @Override
-                public void retryAfter(String seconds) {
+                public void onRetryAfter(String seconds) {
                     if (exchange != null) {
-                        exchange.waitLine(seconds);
+                        exchange.onRetryAfter(seconds);
                     }
                 }
 
                 @Override
-                public void cut(AnswerFlaw where) {
+                public void onTruncatedHead(ResponseDefect where) {
                     if (exchange != null) {
-                        exchange.flaw = where;
+                        exchange.defect = where;
                     }
                 }
             });
-            return heads;
+            return responseParser;
         }
 
         /** Bytes, or an end, have come: false where no call waits for them. */
-        boolean expects() {
+        boolean beginInput() {
             Exchange on = exchange;
-            inInput = on != null && on.produced && !on.freed;
-            if (!inInput) {
+            readingInput = on != null && on.requestStarted && !on.completed;
+            if (!readingInput) {
                 session.close(CloseMode.IMMEDIATE);
-                if (on != null && !on.freed) {
+                if (on != null && !on.completed) {
                     on.failed(null); // its call has not left
                 }
             }
-            return inInput;
+            return readingInput;
         }
 
         /**
@@ -174,99 +174,99 @@
          * which bytes are left when it must not start any more is given up: a repeat that is whole only after its window
          * is a second effect, and one that is never whole does not run.
          */
-        boolean mayLeave() {
+        boolean canWriteRequest() {
             Exchange on = exchange;
-            if (on != null && on.produced && !allWritten() && clock.getAsLong() >= on.call.startBy()) {
+            if (on != null && on.requestStarted && !isRequestWritten() && clock.getAsLong() >= on.call.startDeadline()) {
                 on.failed(null);
                 return false;
             }
-            boolean may = on == null || on.produced || on.passed;
+            boolean may = on == null || on.requestStarted || on.deferredOnce;
             if (on != null) {
-                on.passed = true;
+                on.deferredOnce = true;
             }
             return may;
         }
 
         /** What has come has been read. */
-        void read() {
-            inInput = false;
+        void endInput() {
+            readingInput = false;
             Exchange on = exchange;
-            if (on != null && on.freed) {
-                if (heads.left()) {
+            if (on != null && on.completed) {
+                if (responseParser.hasLeftoverBytes()) {
                     session.close(CloseMode.IMMEDIATE);
                 }
-                on.hand();
+                on.releaseConnection();
             } else if (on != null) {
-                on.looked();
+                on.onPartialResponse();
             }
         }
 
-        void opened(IOSession opened, HttpConnection handler) {
-            connection = handler;
+        void onConnected(IOSession opened, HttpConnection handler) {
+            httpConnection = handler;
             session = opened;
-            if (dropped) {
+            if (discarded) {
                 opened.close(CloseMode.IMMEDIATE);
             }
         }
 
-        private boolean usable() {
+        private boolean isUsable() {
             return session != null && session.isOpen();
         }
 
         /** True once all bytes of the calls so far have been written to the socket. */
-        private boolean allWritten() {
+        private boolean isRequestWritten() {
             Exchange on = exchange;
-            return on != null && on.produced && connection.getEndpointDetails().getSentBytesCount() >= due;
+            return on != null && on.requestStarted && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
         }
     }
 
     /** Starts a call; the sink hears of it once. Returns what cancel() takes, or null where no socket is left. */
-    public Line start(Peer peer, Call call, long now, Call.Sink sink) {
-        Deque<Line> free = idle.getOrDefault(peer, new ArrayDeque<>(0));
-        for (Line line = rested(free, now); line != null; line = rested(free, now)) {
-            if (line.usable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
+    public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener sink) {
+        Deque<PooledConnection> free = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
+        for (PooledConnection line = takeIdleConnection(free, now); line != null; line = takeIdleConnection(free, now)) {
+            if (line.isUsable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
                 line.firstCall = false; // read on the I/O thread only after the exchange below is
                 line.exchange = new Exchange(line, call, now, sink);
-                line.session.enqueue(line.exchange.command(), Command.Priority.NORMAL);
-                busy.add(line);
+                line.session.enqueue(line.exchange.createCommand(), Command.Priority.NORMAL);
+                busyConnections.add(line);
                 return line;
             }
-            drop(line);
+            discard(line);
         }
-        if (open >= limits.maxEndpointConnections() && !peer.always && !dropOldest()) {
+        if (openCount >= limits.maxEndpointConnections() && !peer.exemptFromLimit && !closeOldestIdle()) {
             return null;
         }
-        Line line = new Line(peer);
+        PooledConnection line = new PooledConnection(peer);
         line.exchange = new Exchange(line, call, now, sink);
-        busy.add(line);
-        open++;
+        busyConnections.add(line);
+        openCount++;
         counters.add(Counter.CONNECTIONS_OPENED);
         Exchange exchange = line.exchange;
-        line.coming = reactor.connect(peer.address, limits.connectTimeoutMicros(), line, new FutureCallback<>() {
+        line.pendingConnect = reactor.connect(peer.address, limits.connectTimeoutMicros(), line, new FutureCallback<>() {
             @Override
             public void completed(IOSession session) {
-                session.enqueue(exchange.command(), Command.Priority.NORMAL);
+                session.enqueue(exchange.createCommand(), Command.Priority.NORMAL);
             }
 
             @Override
             public void failed(Exception cause) {
-                exchange.end(Call.Result.none(Ending.NOT_CONNECTED));
-                whenFree.accept(line);
+                exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
+                releaseListener.accept(line);
             }
 
             @Override
             public void cancelled() {
-                exchange.end(Call.Result.none(Ending.NOT_CONNECTED));
-                whenFree.accept(line);
+                exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
+                releaseListener.accept(line);
             }
         });
         return line;
     }
 
     /** Takes the line used last of those that have rested for a moment, in which anything behind its answer came. */
-    private Line rested(Deque<Line> free, long now) {
-        for (Iterator<Line> last = free.descendingIterator(); last.hasNext();) {
-            Line line = last.next();
+    private PooledConnection takeIdleConnection(Deque<PooledConnection> free, long now) {
+        for (Iterator<PooledConnection> last = free.descendingIterator(); last.hasNext();) {
+            PooledConnection line = last.next();
             if (now - line.idleSince >= limits.connectionReuseDelayMicros()) {
                 last.remove();
                 return line;
@@ -280,20 +280,20 @@
      * connection never came up, so that the call never ran. Once it is up that can't be told from this thread: the
      * last byte may be on its way at this very moment.
      */
-    public boolean cancel(Line line) {
-        drop(line);
+    public boolean cancelCall(PooledConnection line) {
+        discard(line);
         return line.session == null;
     }
 
     /** Takes back a line whose call is over, for the next call where it is still open. */
-    public void free(Line line, long now) {
-        busy.remove(line);
-        if (line.usable() && !line.dropped && !line.last && !line.peer.gone && limits.idleConnectionTimeoutMicros() > 0) {
+    public void release(PooledConnection line, long now) {
+        busyConnections.remove(line);
+        if (line.isUsable() && !line.discarded && !line.closeAfterCall && !line.peer.removed && limits.idleConnectionTimeoutMicros() > 0) {
             line.idleSince = now;
             line.exchange = null;
-            idle.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
+            idleConnections.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
         } else {
-            drop(line);
+            discard(line);
         }
     }
 
@@ -302,36 +302,36 @@
      * told and whose connection is up only after it; a call that leaves in this very moment still goes.
      */
     public void withhold(Peer peer) {
-        busy.stream().filter(line -> line.peer == peer && line.exchange != null)
+        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null)
                 .forEach(line -> line.exchange.withheld = true);
     }
 
     /** A peer has left its address: none of its connections is used again. */
-    public void left(Peer peer) {
-        peer.gone = true;
-        dropIdle(peer);
+    public void removePeer(Peer peer) {
+        peer.removed = true;
+        closeIdle(peer);
     }
 
     /**
      * Closes the idle connections to a peer, and each whose call is over when the I/O thread hands it back. Guards
      * against the turn that hears of an answer before its line is free, which else left the line idle for seconds.
      */
-    public void dropIdle(Peer peer) {
-        busy.stream().filter(line -> line.peer == peer && line.exchange != null && line.exchange.ended)
-                .forEach(line -> line.last = true);
-        Deque<Line> free = idle.remove(peer);
+    public void closeIdle(Peer peer) {
+        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null && line.exchange.resultDelivered)
+                .forEach(line -> line.closeAfterCall = true);
+        Deque<PooledConnection> free = idleConnections.remove(peer);
         if (free != null) {
-            free.forEach(this::drop);
+            free.forEach(this::discard);
         }
     }
 
     /** Closes what has been idle for so long that the other side is about to. */
-    public void sweep(long now) {
-        for (Iterator<Deque<Line>> all = idle.values().iterator(); all.hasNext();) {
-            Deque<Line> free = all.next();
+    public void closeExpired(long now) {
+        for (Iterator<Deque<PooledConnection>> all = idleConnections.values().iterator(); all.hasNext();) {
+            Deque<PooledConnection> free = all.next();
             while (!free.isEmpty() && (now - free.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
-                    || !free.peekFirst().usable())) {
-                drop(free.pollFirst());
+                    || !free.peekFirst().isUsable())) {
+                discard(free.pollFirst());
             }
             if (free.isEmpty()) {
                 all.remove();
@@ -341,31 +341,31 @@
 
     /** Closes all connections, those with a call on them too. */
     public void close() {
-        List.copyOf(busy).forEach(this::drop);
-        idle.values().forEach(free -> free.forEach(this::drop));
-        idle.clear();
+        List.copyOf(busyConnections).forEach(this::discard);
+        idleConnections.values().forEach(free -> free.forEach(this::discard));
+        idleConnections.clear();
     }
 
-    private boolean dropOldest() {
-        Line oldest = null;
-        for (Deque<Line> free : idle.values()) {
-            Line first = free.peekFirst();
+    private boolean closeOldestIdle() {
+        PooledConnection oldest = null;
+        for (Deque<PooledConnection> free : idleConnections.values()) {
+            PooledConnection first = free.peekFirst();
             oldest = first != null && (oldest == null || first.idleSince < oldest.idleSince) ? first : oldest;
         }
         if (oldest != null) {
-            idle.get(oldest.peer).remove(oldest);
-            drop(oldest);
+            idleConnections.get(oldest.peer).remove(oldest);
+            discard(oldest);
         }
         return oldest != null;
     }
 
-    private void drop(Line line) {
-        busy.remove(line);
-        line.dropped = true;
-        open -= line.counted ? 1 : 0;
-        line.counted = false;
-        if (line.coming != null && line.session == null) {
-            line.coming.cancel(true);
+    private void discard(PooledConnection line) {
+        busyConnections.remove(line);
+        line.discarded = true;
+        openCount -= line.countedAsOpen ? 1 : 0;
+        line.countedAsOpen = false;
+        if (line.pendingConnect != null && line.session == null) {
+            line.pendingConnect.cancel(true);
         }
         IOSession session = line.session;
         if (session != null) {
@@ -375,47 +375,47 @@
 
     /** One call on the I/O thread. */
     private final class Exchange implements AsyncClientExchangeHandler {
-        private final Line line;
+        private final PooledConnection pooledConnection;
         private final Call call;
-        private final Call.Sink sink;
-        private final ByteBuffer body;
-        private HttpResponse head;
+        private final Call.ResultListener resultListener;
+        private final ByteBuffer requestBody;
+        private HttpResponse responseHead;
         private int status; // of the first line, before the rest of the head is there
-        private long wait; // as a line of the head says it, before the rest is there
-        private ByteBuffer answer;
-        private volatile boolean produced;
+        private long retryAfterMicros; // as a line of the head says it, before the rest is there
+        private ByteBuffer responseBody;
+        private volatile boolean requestStarted;
         private volatile boolean withheld;
         private final long decidedAt;
-        private boolean passed; // one pass over all connections since the call was put on its line
-        private volatile boolean ended;
-        private volatile boolean freed;
-        private boolean handed;
-        private int passedOver; // bytes of an answer that nobody wants
-        private int informed;
-        private long due; // when the answer has to be whole
-        private AnswerFlaw flaw = AnswerFlaw.NONE;
-
-        Exchange(Line line, Call call, long decidedAt, Call.Sink sink) {
+        private boolean deferredOnce; // one pass over all connections since the call was put on its line
+        private volatile boolean resultDelivered;
+        private volatile boolean completed;
+        private boolean released;
+        private int discardedBytes; // bytes of an answer that nobody wants
+        private int informationalResponses;
+        private long responseDeadline; // when the answer has to be whole
+        private ResponseDefect defect = ResponseDefect.NONE;
+
+        Exchange(PooledConnection line, Call call, long decidedAt, Call.ResultListener sink) {
             this.decidedAt = decidedAt;
-            this.line = line;
+            this.pooledConnection = line;
             this.call = call;
-            this.sink = sink;
-            this.body = ByteBuffer.wrap(call.body());
+            this.resultListener = sink;
+            this.requestBody = ByteBuffer.wrap(call.body());
         }
 
-        Command command() {
+        Command createCommand() {
             return new RequestExecutionCommand(this, null, HttpCoreContext.create());
         }
 
-        void end(Call.Result result) {
-            if (!ended) {
-                ended = true;
-                count(result.flaw());
-                sink.ended(result);
+        void deliverResult(Call.Result result) {
+            if (!resultDelivered) {
+                resultDelivered = true;
+                countDefect(result.defect());
+                resultListener.onResult(result);
             }
         }
 
-        private void count(AnswerFlaw how) {
+        private void countDefect(ResponseDefect how) {
             switch (how) {
                 case NONE -> { }
                 case MISSING -> counters.add(Counter.ANSWERS_MISSING);
@@ -426,61 +426,61 @@
         }
 
         /** The first line decides: what reads 200 is done, however the rest of its answer is spoilt. */
-        void firstLine(int read) {
+        void onStatusLine(int read) {
             status = read;
-            wait = 0;
+            retryAfterMicros = 0;
         }
 
         /** What was decided without knowing of a wait does not leave, though the rest of its answer may never come. */
-        void waitLine(String seconds) {
-            line.peer.toldAt.set(clock.getAsLong());
-            wait = Math.max(wait, micros(seconds));
+        void onRetryAfter(String seconds) {
+            pooledConnection.peer.retryAfterReceivedAt.set(clock.getAsLong());
+            retryAfterMicros = Math.max(retryAfterMicros, secondsToMicros(seconds));
         }
 
-        private boolean done() {
+        private boolean isDone() {
             return status == 200 && !call.method().equals("GET");
         }
 
         /** A part of the answer has come: its rest has to come in time, however it trickles. */
-        void looked() {
+        void onPartialResponse() {
             long now = System.nanoTime() / 1000;
-            due = due == 0 ? now + limits.responseReadTimeoutMicros() : due;
-            if (head == null && done()) {
-                end(new Call.Result(status, null, 0, false, null, null));
+            responseDeadline = responseDeadline == 0 ? now + limits.responseReadTimeoutMicros() : responseDeadline;
+            if (responseHead == null && isDone()) {
+                deliverResult(new Call.Result(status, null, 0, false, null, null));
             }
-            if (now >= due) {
-                flaw = AnswerFlaw.STALLED;
+            if (now >= responseDeadline) {
+                defect = ResponseDefect.STALLED;
                 failed(null);
-            } else if (line.session != null) {
-                line.session.setSocketTimeout(Timeout.ofMicroseconds(due - now));
+            } else if (pooledConnection.session != null) {
+                pooledConnection.session.setSocketTimeout(Timeout.ofMicroseconds(responseDeadline - now));
             }
         }
 
-        private void free() {
-            if (!freed) {
-                freed = true;
-                if (line.session != null) {
-                    line.session.setSocketTimeout(Timeout.DISABLED); // idle, it is the desk's to close
+        private void complete() {
+            if (!completed) {
+                completed = true;
+                if (pooledConnection.session != null) {
+                    pooledConnection.session.setSocketTimeout(Timeout.DISABLED); // idle, it is the desk's to close
                 }
             }
-            if (!line.inInput) {
-                hand();
+            if (!pooledConnection.readingInput) {
+                releaseConnection();
             }
         }
 
         /** Hands the line back, once all that came with the answer has been looked at. */
-        private void hand() {
-            if (!handed) {
-                handed = true;
-                whenFree.accept(line);
+        private void releaseConnection() {
+            if (!released) {
+                released = true;
+                releaseListener.accept(pooledConnection);
             }
         }
 
         @Override
         public void produceRequest(RequestChannel channel, HttpContext context)
                 throws HttpException, IOException {
-            if (withheld || line.peer.toldAt.get() > decidedAt || clock.getAsLong() >= call.startBy()) {
-                end(Call.Result.none(Ending.NOT_SENT)); // its connection, or this thread, came too late
+            if (withheld || pooledConnection.peer.retryAfterReceivedAt.get() > decidedAt || clock.getAsLong() >= call.startDeadline()) {
+                deliverResult(Call.Result.withoutResponse(Ending.NOT_SENT)); // its connection, or this thread, came too late
                 throw new IOException("call is too late to start");
             }
             BasicHttpRequest request = new BasicHttpRequest(call.method(), call.path());
@@ -489,31 +489,31 @@
                 request.addHeader(call.headers()[i], call.headers()[i + 1]);
                 size += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
             }
-            line.due = line.connection.getEndpointDetails().getSentBytesCount() + size + call.body().length;
-            produced = true;
-            line.session.setSocketTimeout(Timeout.DISABLED);
+            pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount() + size + call.body().length;
+            requestStarted = true;
+            pooledConnection.session.setSocketTimeout(Timeout.DISABLED);
             channel.sendRequest(request, call.body().length == 0 ? null
                     : new BasicEntityDetails(call.body().length, null), context);
         }
 
         @Override
         public int available() {
-            return body.remaining();
+            return requestBody.remaining();
         }
 
         @Override
         public void produce(DataStreamChannel channel) throws IOException {
-            if (body.hasRemaining()) {
-                channel.write(body);
+            if (requestBody.hasRemaining()) {
+                channel.write(requestBody);
             }
-            if (!body.hasRemaining()) {
+            if (!requestBody.hasRemaining()) {
                 channel.endStream(null);
             }
         }
 
         @Override
         public void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
-            if (++informed > limits.maxHeaders()) {
+            if (++informationalResponses > limits.maxHeaders()) {
                 throw new HttpException("an answer only announced");
             }
         }
@@ -521,44 +521,44 @@
         @Override
         public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context)
                 throws IOException {
-            head = response;
+            responseHead = response;
             Header connection = response.getFirstHeader("Connection");
-            line.last = connection != null && connection.getValue().equalsIgnoreCase("close");
-            if (done()) {
-                end(result(null));
+            pooledConnection.closeAfterCall = connection != null && connection.getValue().equalsIgnoreCase("close");
+            if (isDone()) {
+                deliverResult(createResult(null));
             } else if (response.getCode() == 200) {
-                answer = ByteBuffer.allocate(limits.ioBufferBytes());
+                responseBody = ByteBuffer.allocate(limits.ioBufferBytes());
             }
-            int most = answer == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
+            int most = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
             if (entity != null && entity.getContentLength() > most) {
                 throw new IOException("answer is too large");
             }
             if (entity == null) {
-                whole();
+                completeResponse();
             }
         }
 
         /** The answer is whole. Only then does anything but 200 say that the call did not run. */
-        private void whole() {
+        private void completeResponse() {
             byte[] content = null;
-            if (answer != null) {
-                content = new byte[answer.flip().remaining()];
-                answer.get(content);
-                answer = null;
+            if (responseBody != null) {
+                content = new byte[responseBody.flip().remaining()];
+                responseBody.get(content);
+                responseBody = null;
             }
-            end(result(content));
-            free();
+            deliverResult(createResult(content));
+            complete();
         }
 
         /** A wait counts once its line has been read, however the rest of the answer is spoilt. */
-        private long waitTold() {
-            return status == 429 || status == 503 ? wait : 0;
+        private long effectiveRetryAfterMicros() {
+            return status == 429 || status == 503 ? retryAfterMicros : 0;
         }
 
-        private Call.Result result(byte[] content) {
-            Header load = head.countHeaders("Server-Load") == 1 ? head.getFirstHeader("Server-Load") : null;
-            return new Call.Result(head.getCode(), null, wait, head.containsHeader("X-Line-Busy"),
-                    load == null ? null : load.getValue(), content, line.last && line.firstCall, flaw);
+        private Call.Result createResult(byte[] content) {
+            Header load = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
+            return new Call.Result(responseHead.getCode(), null, retryAfterMicros, responseHead.containsHeader("X-Line-Busy"),
+                    load == null ? null : load.getValue(), content, pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
         }
 
         @Override
@@ -568,16 +568,16 @@
 
         @Override
         public void consume(ByteBuffer source) throws IOException {
-            if (answer != null && !ended) {
-                if (answer.remaining() < source.remaining()) {
-                    int grown = Math.max(2 * answer.capacity(), answer.position() + source.remaining());
+            if (responseBody != null && !resultDelivered) {
+                if (responseBody.remaining() < source.remaining()) {
+                    int grown = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
                     if (grown > limits.maxResponseBytes()) {
                         throw new IOException("answer is too large");
                     }
-                    answer = ByteBuffer.allocate(grown).put(answer.flip());
+                    responseBody = ByteBuffer.allocate(grown).put(responseBody.flip());
                 }
-                answer.put(source);
-            } else if ((passedOver += source.remaining()) > limits.maxBodyBytes()) {
+                responseBody.put(source);
+            } else if ((discardedBytes += source.remaining()) > limits.maxBodyBytes()) {
                 throw new IOException("answer does not end");
             } else {
                 source.position(source.limit());
@@ -586,32 +586,32 @@
 
         @Override
         public void streamEnd(List<? extends Header> trailers) {
-            whole();
+            completeResponse();
         }
 
         @Override
         public void failed(Exception cause) {
-            end(done() ? new Call.Result(status, null, 0, false, null, null)
-                    : Call.Result.none(line.allWritten() ? Ending.RESET : Ending.NOT_CONNECTED, waitTold(), flaw(cause)));
-            IOSession session = line.session;
+            deliverResult(isDone() ? new Call.Result(status, null, 0, false, null, null)
+                    : Call.Result.withoutResponse(pooledConnection.isRequestWritten() ? Ending.RESET : Ending.NOT_CONNECTED, effectiveRetryAfterMicros(), classifyDefect(cause)));
+            IOSession session = pooledConnection.session;
             if (session != null) {
                 session.close(CloseMode.IMMEDIATE);
             }
-            free();
+            complete();
         }
 
         /** Where an answer that did not come whole ended. */
-        private AnswerFlaw flaw(Exception cause) {
-            if (flaw != AnswerFlaw.NONE) {
-                return flaw;
+        private ResponseDefect classifyDefect(Exception cause) {
+            if (defect != ResponseDefect.NONE) {
+                return defect;
             }
             if (cause instanceof HttpException) {
-                return AnswerFlaw.UNREADABLE;
+                return ResponseDefect.UNREADABLE;
             }
-            if (head != null) {
-                return AnswerFlaw.CUT_IN_BODY;
+            if (responseHead != null) {
+                return ResponseDefect.CUT_IN_BODY;
             }
-            return status != 0 ? AnswerFlaw.CUT_IN_HEAD : AnswerFlaw.MISSING;
+            return status != 0 ? ResponseDefect.CUT_IN_HEAD : ResponseDefect.MISSING;
         }
 
         @Override
@@ -621,14 +621,14 @@
 
         @Override
         public void releaseResources() {
-            if (!ended) {
+            if (!resultDelivered) {
                 failed(null);
             }
         }
     }
 
     /** Seconds, whole or decimal, in whole microseconds; 0 where there are none that can be read. */
-    static long micros(String text) {
+    static long secondsToMicros(String text) {
         try {
             double seconds = Double.parseDouble(text);
             return seconds > 0 && seconds < 1e6 ? Math.round(seconds * 1e6) : 0;
@@ -638,7 +638,7 @@
     }
 
     /** An address in numbers, or null: names are not looked up. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]")) {
             return null;
--- a/src/main/java/terndyke/node/http/Reactor.java
+++ b/src/main/java/terndyke/node/http/Reactor.java
@@ -52,37 +52,37 @@
 
 /** The one I/O thread, for the clients' connections and for the node's own. */
 public final class Reactor {
-    private static final Object DOOR = new Object();
+    private static final Object LISTEN_ATTACHMENT = new Object();
 
-    private final DefaultListeningIOReactor reactor;
-    private final DefaultHttpRequestWriterFactory calls;
+    private final DefaultListeningIOReactor ioReactor;
+    private final DefaultHttpRequestWriterFactory requestWriterFactory;
     private final Limits limits;
     private final Counters counters;
     private final NodeLog log;
-    private final Visits visits;
-    private final Http1Config http;
-    private final DefaultHttpResponseWriterFactory answers;
-    private final Semaphore places; // of clients' connections, from their accept to their close
-    private volatile Thread acceptor;
-    private volatile Door door;
+    private final ClientConnections clientConnections;
+    private final Http1Config httpConfig;
+    private final DefaultHttpResponseWriterFactory responseWriterFactory;
+    private final Semaphore connectionPermits; // of clients' connections, from their accept to their close
+    private volatile Thread acceptThread;
+    private volatile ClientRequestHandler requestHandler;
     private volatile boolean closing;
 
     public Reactor(Limits limits, Counters counters, NodeLog log) {
         this.limits = limits;
         this.counters = counters;
         this.log = log;
-        visits = new Visits(limits, () -> System.nanoTime() / 1000);
-        http = http(limits);
-        answers = new DefaultHttpResponseWriterFactory(http);
-        calls = new DefaultHttpRequestWriterFactory(http);
+        clientConnections = new ClientConnections(limits, () -> System.nanoTime() / 1000);
+        httpConfig = createHttpConfig(limits);
+        responseWriterFactory = new DefaultHttpResponseWriterFactory(httpConfig);
+        requestWriterFactory = new DefaultHttpRequestWriterFactory(httpConfig);
         IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMicroseconds(limits.selectIntervalMicros()))
                 .setBacklogSize(limits.listenBacklog()).build();
-        places = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxPendingConnections());
-        reactor = new DefaultListeningIOReactor(this::handler, io, work -> thread(work, "terndyke-io"), work -> {
-            acceptor = thread(work, "terndyke-accept");
-            return acceptor;
-        }, null, this::failed, null, null, ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, threads -> takePlace());
+        connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxPendingConnections());
+        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, io, work -> createDaemonThread(work, "terndyke-io"), work -> {
+            acceptThread = createDaemonThread(work, "terndyke-accept");
+            return acceptThread;
+        }, null, this::logIoError, null, null, ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, threads -> awaitConnectionPermit());
     }
 
     /**
@@ -90,10 +90,10 @@
      * clients that come faster than they can be looked at: they would take all descriptors, and the first accept without
      * one ends the library's listener for good. Those in excess wait in the system's queue.
      */
-    private int takePlace() {
+    private int awaitConnectionPermit() {
         try {
-            while (Thread.currentThread() == acceptor && !closing
-                    && !places.tryAcquire(limits.selectIntervalMicros(), TimeUnit.MICROSECONDS)) {
+            while (Thread.currentThread() == acceptThread && !closing
+                    && !connectionPermits.tryAcquire(limits.selectIntervalMicros(), TimeUnit.MICROSECONDS)) {
                 counters.add(Counter.ACCEPTS_HELD);
             }
         } catch (InterruptedException e) {
@@ -102,99 +102,99 @@
         return 0;
     }
 
-    private static Http1Config http(Limits limits) {
+    private static Http1Config createHttpConfig(Limits limits) {
         return Http1Config.custom().setBufferSize(limits.ioBufferBytes()).setMaxLineLength(limits.maxHeaderLineBytes())
                 .setMaxHeaderCount(limits.maxHeaders()).setInitialWindowSize(limits.maxBodyBytes()).build();
     }
 
-    private static Thread thread(Runnable work, String name) {
+    private static Thread createDaemonThread(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    private IOEventHandler handler(ProtocolIOSession session, Object attachment) {
-        if (attachment instanceof Calls.Line line) {
-            ClientHttp1IOEventHandler handler = new LineSide(line, new CallStream(session, line));
-            line.opened(session, handler);
+    private IOEventHandler createEventHandler(ProtocolIOSession session, Object attachment) {
+        if (attachment instanceof ConnectionPool.PooledConnection line) {
+            ClientHttp1IOEventHandler handler = new OutboundEventHandler(line, new OutboundStreamDuplexer(session, line));
+            line.onConnected(session, handler);
             return handler;
         }
-        return client(session);
+        return createInboundHandler(session);
     }
 
     /** The messages on a connection of the node's own. */
-    private final class CallStream extends ClientHttp1StreamDuplexer {
-        CallStream(ProtocolIOSession session, Calls.Line line) {
-            super(session, HttpProcessorBuilder.create().build(), http, CharCodingConfig.DEFAULT,
-                    DefaultConnectionReuseStrategy.INSTANCE, line.heads(http), calls.create(),
+    private final class OutboundStreamDuplexer extends ClientHttp1StreamDuplexer {
+        OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection line) {
+            super(session, HttpProcessorBuilder.create().build(), httpConfig, CharCodingConfig.DEFAULT,
+                    DefaultConnectionReuseStrategy.INSTANCE, line.createResponseParser(httpConfig), requestWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, null);
         }
 
         @Override
         protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel, SessionInputBuffer buffer,
                 BasicHttpTransportMetrics metrics) throws HttpException {
-            return length == ContentLengthStrategy.CHUNKED ? new WholeChunks(channel, buffer, http, metrics)
+            return length == ContentLengthStrategy.CHUNKED ? new StrictChunkDecoder(channel, buffer, httpConfig, metrics)
                     : super.createContentDecoder(length, channel, buffer, metrics);
         }
     }
 
     /** The messages on a client's connection. */
-    private final class ClientStream extends ServerHttp1StreamDuplexer {
-        ClientStream(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchanges,
+    private final class InboundStreamDuplexer extends ServerHttp1StreamDuplexer {
+        InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchanges,
                 Http1StreamListener listener) {
-            super(session, HttpProcessorBuilder.create().build(), exchanges, "http", http, CharCodingConfig.DEFAULT,
-                    DefaultConnectionReuseStrategy.INSTANCE, new RequestHeads(http), answers.create(),
+            super(session, HttpProcessorBuilder.create().build(), exchanges, "http", httpConfig, CharCodingConfig.DEFAULT,
+                    DefaultConnectionReuseStrategy.INSTANCE, new RequestHeadParser(httpConfig), responseWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, listener, cause -> { });
         }
 
         @Override
         protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel, SessionInputBuffer buffer,
                 BasicHttpTransportMetrics metrics) throws HttpException {
-            return length == ContentLengthStrategy.CHUNKED ? new WholeChunks(channel, buffer, http, metrics)
+            return length == ContentLengthStrategy.CHUNKED ? new StrictChunkDecoder(channel, buffer, httpConfig, metrics)
                     : super.createContentDecoder(length, channel, buffer, metrics);
         }
     }
 
     /** A connection of the node's own. */
-    private static final class LineSide extends ClientHttp1IOEventHandler {
-        private final Calls.Line line;
+    private static final class OutboundEventHandler extends ClientHttp1IOEventHandler {
+        private final ConnectionPool.PooledConnection pooledConnection;
 
-        LineSide(Calls.Line line, ClientHttp1StreamDuplexer duplexer) {
+        OutboundEventHandler(ConnectionPool.PooledConnection line, ClientHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.line = line;
+            this.pooledConnection = line;
         }
 
         @Override
         public void outputReady(IOSession session) throws IOException {
-            if (line.mayLeave()) {
+            if (pooledConnection.canWriteRequest()) {
                 super.outputReady(session);
             }
         }
 
         @Override
         public void inputReady(IOSession session, ByteBuffer source) throws IOException {
-            if (line.expects()) {
+            if (pooledConnection.beginInput()) {
                 try {
                     super.inputReady(session, source);
                 } finally {
-                    line.read();
+                    pooledConnection.endInput();
                 }
             }
         }
     }
 
     /** A client's connection. */
-    private final class ClientSide extends ServerHttp1IOEventHandler {
-        private final Visits.Visit visit;
+    private final class InboundEventHandler extends ServerHttp1IOEventHandler {
+        private final ClientConnections.ClientConnection clientConnection;
 
-        ClientSide(Visits.Visit visit, ServerHttp1StreamDuplexer duplexer) {
+        InboundEventHandler(ClientConnections.ClientConnection visit, ServerHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.visit = visit;
+            this.clientConnection = visit;
         }
 
         @Override
         public void inputReady(IOSession session, ByteBuffer source) throws IOException {
-            visit.input();
+            clientConnection.onInput();
             if (session.isOpen()) {
                 super.inputReady(session, source);
             }
@@ -204,30 +204,30 @@
         @Override
         public void outputReady(IOSession session) throws IOException {
             do {
-                visit.writeAnswers();
+                clientConnection.writePendingResponses();
                 super.outputReady(session);
-            } while (visit.hasAnswers());
+            } while (clientConnection.hasPendingResponses());
         }
 
         @Override
         public void timeout(IOSession session, Timeout timeout) {
-            visit.close();
+            clientConnection.close();
         }
 
         @Override
         public void disconnected(IOSession session) {
-            visit.left();
-            places.release();
+            clientConnection.markClosed();
+            connectionPermits.release();
             super.disconnected(session);
         }
     }
 
-    private IOEventHandler client(ProtocolIOSession session) {
+    private IOEventHandler createInboundHandler(ProtocolIOSession session) {
         counters.add(Counter.CLIENT_CONNECTIONS);
-        Visits.Visit visit = visits.come(session);
+        ClientConnections.ClientConnection visit = clientConnections.accept(session);
         if (visit == null) {
             counters.add(Counter.TURNED_OUT);
-            return new Stranger();
+            return new RejectingEventHandler();
         }
         Http1StreamListener whenAnswered = new Http1StreamListener() {
             @Override
@@ -238,15 +238,15 @@
 
             @Override
             public void onExchangeComplete(HttpConnection connection, boolean keepAlive) {
-                visit.answered();
+                visit.onResponseComplete();
             }
         };
-        return new ClientSide(visit, new ClientStream(session,
-                (request, context) -> door.exchange(visit, visits.crowded()), whenAnswered));
+        return new InboundEventHandler(visit, new InboundStreamDuplexer(session,
+                (request, context) -> requestHandler.createExchange(visit, clientConnections.isOverCapacity()), whenAnswered));
     }
 
     /** A client for whom there is no place: closed at once. */
-    private final class Stranger implements IOEventHandler {
+    private final class RejectingEventHandler implements IOEventHandler {
         @Override
         public void connected(IOSession session) {
             session.close(CloseMode.IMMEDIATE);
@@ -266,18 +266,18 @@
 
         @Override
         public void disconnected(IOSession session) {
-            places.release();
+            connectionPermits.release();
         }
     }
 
     public void start() {
-        reactor.start();
+        ioReactor.start();
     }
 
     /** Serves clients on an address from now on. */
-    public void listen(InetSocketAddress address, Door door) throws IOException {
-        this.door = door;
-        Future<ListenerEndpoint> listening = reactor.listen(address, DOOR, null);
+    public void listen(InetSocketAddress address, ClientRequestHandler door) throws IOException {
+        this.requestHandler = door;
+        Future<ListenerEndpoint> listening = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
         try {
             listening.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -288,9 +288,9 @@
         }
     }
 
-    Future<IOSession> connect(InetSocketAddress address, long timeout, Calls.Line line,
+    Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection line,
             FutureCallback<IOSession> callback) {
-        return reactor.connect(new NamedEndpoint() {
+        return ioReactor.connect(new NamedEndpoint() {
             @Override
             public String getHostName() {
                 return address.getHostString();
@@ -303,7 +303,7 @@
         }, address, null, Timeout.ofMicroseconds(timeout), line, callback);
     }
 
-    private void failed(Exception cause) {
+    private void logIoError(Exception cause) {
         if (!closing) {
             log.warn("I/O", cause);
         }
@@ -312,8 +312,8 @@
     /** Closes idle connections in good order, waits a little for what is under way, and ends. */
     public void close() throws InterruptedException {
         closing = true;
-        reactor.initiateShutdown();
-        reactor.awaitShutdown(TimeValue.ofMicroseconds(limits.closeTimeoutMicros()));
-        reactor.close(CloseMode.IMMEDIATE);
+        ioReactor.initiateShutdown();
+        ioReactor.awaitShutdown(TimeValue.ofMicroseconds(limits.closeTimeoutMicros()));
+        ioReactor.close(CloseMode.IMMEDIATE);
     }
 }
--- a/src/main/java/terndyke/node/http/RequestHeads.java
+++ b/src/main/java/terndyke/node/http/RequestHeadParser.java
@@ -19,33 +19,33 @@
  * Content-Length beside Transfer-Encoding, and covers repeated, signed or huge lengths and other codings. It may turn
  * away a sloppy client whose two lengths agree.
  */
-final class RequestHeads extends DefaultHttpRequestParser<HttpRequest> {
-    private static final String DIGITS = "\\d{1,18}";
+final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
+    private static final String CONTENT_LENGTH_PATTERN = "\\d{1,18}";
 
-    private boolean broken;
-    private boolean begun; // a head of which the first line has been read
+    private boolean malformed;
+    private boolean requestLineRead; // a head of which the first line has been read
 
-    RequestHeads(Http1Config http) {
+    RequestHeadParser(Http1Config http) {
         super(http, DefaultHttpRequestFactory.INSTANCE);
     }
 
     /** The end of the input ends no head: a client that stops inside one has handed nothing in. */
     @Override
     public HttpRequest parse(SessionInputBuffer buffer, boolean endOfInput) throws IOException, HttpException {
-        if (broken) {
+        if (malformed) {
             return null;
         }
         try {
-            HttpRequest request = super.parse(new WholeLines(buffer), false);
-            begun &= request == null;
+            HttpRequest request = super.parse(new CompleteLinesInputBuffer(buffer), false);
+            requestLineRead &= request == null;
             if (request != null) {
-                checkLength(request);
-            } else if (endOfInput && (begun || buffer.hasData())) {
+                checkBodyFraming(request);
+            } else if (endOfInput && (requestLineRead || buffer.hasData())) {
                 throw new ProtocolException("the connection ended inside the head of a request");
             }
             return request;
         } catch (HttpException e) {
-            broken = true;
+            malformed = true;
             throw e;
         }
     }
@@ -53,17 +53,17 @@
     @Override
     protected HttpRequest createMessage(CharArrayBuffer line) throws HttpException {
         HttpRequest request = super.createMessage(line);
-        begun = true;
+        requestLineRead = true;
         return request;
     }
 
-    private static void checkLength(HttpRequest request) throws ProtocolException {
+    private static void checkBodyFraming(HttpRequest request) throws ProtocolException {
         Header[] lengths = request.getHeaders("Content-Length");
         Header[] codings = request.getHeaders("Transfer-Encoding");
         if (lengths.length + codings.length > 1) {
             throw new ProtocolException("more than one header tells where the body ends");
         }
-        if (lengths.length == 1 && !String.valueOf(lengths[0].getValue()).strip().matches(DIGITS)) {
+        if (lengths.length == 1 && !String.valueOf(lengths[0].getValue()).strip().matches(CONTENT_LENGTH_PATTERN)) {
             throw new ProtocolException("Content-Length cannot be read");
         }
         if (codings.length == 1 && (!"chunked".equalsIgnoreCase(String.valueOf(codings[0].getValue()).strip())
--- a/src/main/java/terndyke/node/http/AnswerFlaw.java
+++ b/src/main/java/terndyke/node/http/ResponseDefect.java
@@ -1,7 +1,7 @@
 package terndyke.node.http;
 
 /** How an answer to one of the node's own calls fell short of a whole one, for the log. */
-public enum AnswerFlaw {
+public enum ResponseDefect {
     /** The answer is whole, or whole as far as it counts. */
     NONE,
     /** Nothing of an answer came before the connection ended. */
--- a/src/main/java/terndyke/node/http/AnswerHeads.java
+++ b/src/main/java/terndyke/node/http/ResponseHeadParser.java
@@ -12,27 +12,27 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /** Reads the heads of the answers on one connection, and says what each first line and a wait read before the rest is there. */
-final class AnswerHeads extends DefaultHttpResponseParser<HttpResponse> {
-    private static final String WAIT = "retry-after:";
+final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
+    private static final String RETRY_AFTER_PREFIX = "retry-after:";
 
     private final Listener listener;
     private SessionInputBuffer input;
-    private boolean begun; // a head of which the first line has been read
+    private boolean statusLineRead; // a head of which the first line has been read
 
     /** Hears of an answer's head while it is being read. */
     interface Listener {
 
         /** The first line has been read. */
-        void firstLine(int status);
+        void onStatusLine(int status);
 
         /** A Retry-After header has been read, in seconds as it was sent. */
-        void retryAfter(String seconds);
+        void onRetryAfter(String seconds);
 
         /** The connection's input ended inside the head. */
-        void cut(AnswerFlaw where);
+        void onTruncatedHead(ResponseDefect where);
     }
 
-    AnswerHeads(Http1Config http, Listener listener) {
+    ResponseHeadParser(Http1Config http, Listener listener) {
         super(http, DefaultHttpResponseFactory.INSTANCE);
         this.listener = listener;
     }
@@ -41,11 +41,11 @@
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean endOfInput) throws IOException, HttpException {
         input = buffer;
-        HttpResponse head = super.parse(new Lines(buffer), false);
-        begun &= head == null;
-        if (head == null && endOfInput && left()) {
-            lineThatBreaksOff();
-            listener.cut(begun ? AnswerFlaw.CUT_IN_HEAD : AnswerFlaw.CUT_IN_FIRST_LINE);
+        HttpResponse head = super.parse(new InspectingInputBuffer(buffer), false);
+        statusLineRead &= head == null;
+        if (head == null && endOfInput && hasLeftoverBytes()) {
+            inspectTruncatedLine();
+            listener.onTruncatedHead(statusLineRead ? ResponseDefect.CUT_IN_HEAD : ResponseDefect.CUT_IN_FIRST_LINE);
             throw new ConnectionClosedException("the connection ended inside the head of an answer");
         }
         return head;
@@ -54,34 +54,34 @@
     @Override
     protected HttpResponse createMessage(CharArrayBuffer line) throws HttpException {
         HttpResponse head = super.createMessage(line);
-        begun = true;
-        listener.firstLine(head.getCode());
+        statusLineRead = true;
+        listener.onStatusLine(head.getCode());
         return head;
     }
 
     /** True where bytes are left that belong to no answer. */
-    boolean left() {
-        return begun || input != null && input.hasData();
+    boolean hasLeftoverBytes() {
+        return statusLineRead || input != null && input.hasData();
     }
 
     /** A line of a head, which the library keeps to itself until the head is whole. */
-    private void line(CharArrayBuffer line) {
-        if (begun && line.length() > WAIT.length() && line.substring(0, WAIT.length()).equalsIgnoreCase(WAIT)) {
-            listener.retryAfter(line.substringTrimmed(WAIT.length(), line.length()));
+    private void inspectLine(CharArrayBuffer line) {
+        if (statusLineRead && line.length() > RETRY_AFTER_PREFIX.length() && line.substring(0, RETRY_AFTER_PREFIX.length()).equalsIgnoreCase(RETRY_AFTER_PREFIX)) {
+            listener.onRetryAfter(line.substringTrimmed(RETRY_AFTER_PREFIX.length(), line.length()));
         }
     }
 
     /** A wait whose digits break off is no longer than the one that was told, so that much of it is heeded. */
-    private void lineThatBreaksOff() throws IOException {
-        CharArrayBuffer half = new CharArrayBuffer(WAIT.length());
+    private void inspectTruncatedLine() throws IOException {
+        CharArrayBuffer half = new CharArrayBuffer(RETRY_AFTER_PREFIX.length());
         if (input.readLine(half, true)) {
-            line(half);
+            inspectLine(half);
         }
     }
 
     /** Lines of which each is looked at. */
-    private final class Lines extends WholeLines {
-        Lines(SessionInputBuffer input) {
+    private final class InspectingInputBuffer extends CompleteLinesInputBuffer {
+        InspectingInputBuffer(SessionInputBuffer input) {
             super(input);
         }
 
@@ -89,7 +89,7 @@
         public boolean readLine(CharArrayBuffer line, boolean endOfInput) throws IOException {
             boolean whole = super.readLine(line, endOfInput);
             if (whole) {
-                line(line);
+                inspectLine(line);
             }
             return whole;
         }
--- a/src/main/java/terndyke/node/http/WholeChunks.java
+++ b/src/main/java/terndyke/node/http/StrictChunkDecoder.java
@@ -14,11 +14,11 @@
  * A chunked body, whole only once the whole line of its last chunk has come. The library takes the end of the input for the
  * end of a chunk's size, so that a body cut behind the first digit of {@code 0a} would count as a whole one.
  */
-final class WholeChunks extends ChunkDecoder {
+final class StrictChunkDecoder extends ChunkDecoder {
     private boolean endOfInput;
 
-    WholeChunks(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config http, BasicHttpTransportMetrics metrics) {
-        super(channel, new WholeLines(buffer), http, metrics);
+    StrictChunkDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config http, BasicHttpTransportMetrics metrics) {
+        super(channel, new CompleteLinesInputBuffer(buffer), http, metrics);
     }
 
     @Override
--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -4,7 +4,7 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.discovery.Catalogue;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ClientRequest;
 
 /** Second stage: what cannot be taken on is answered here, before anything is booked or decided. */
 public final class AdmissionStage {
@@ -32,18 +32,18 @@
      * of their own: where theirs comes first, the other one's record would be taken for theirs, be nowhere, and be
      * overtaken by the later ones of its key (rules 1 and 5). It may turn away a client that alters what it repeats.
      */
-    boolean admit(Handover handover, long now) {
+    boolean admit(ClientRequest handover, long now) {
         TrackedRecord known = recordStore.findById(handover.id());
         if (known != null) {
             counters.add(Counter.REPEATS);
             if (known.isSameRecord(handover)) {
-                answerDuplicate(known, handover.answer());
+                answerDuplicate(known, handover.responder());
             } else { // another record under an id that is taken: it may come again under its own
-                handover.answer().refused(0);
+                handover.responder().refused(0);
             }
         } else if (!endpointRegistry.knows(handover.destination())) {
             counters.add(Counter.MALFORMED);
-            handover.answer().failed(400);
+            handover.responder().failed(400);
         } else {
             Counter why = refusalReason(handover, now);
             if (why == null) {
@@ -51,24 +51,24 @@
             }
             counters.add(Counter.REFUSED_AT_DOOR);
             counters.add(why);
-            handover.answer().refused(0);
+            handover.responder().refused(0);
         }
         return false;
     }
 
     /** Why a message that could be taken on is not, or null. */
-    private Counter refusalReason(Handover handover, long now) {
+    private Counter refusalReason(ClientRequest handover, long now) {
         if (shuttingDown) {
             return Counter.REFUSED_LEAVING;
         }
-        if (now - handover.readAt() > limits.maxAdmissionDelayMicros()) {
+        if (now - handover.receivedAt() > limits.maxAdmissionDelayMicros()) {
             return Counter.REFUSED_READ_LATE;
         }
         return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length) ? Counter.REFUSED_NO_ROOM : null;
     }
 
     /** A record that is held or was delivered is not taken on twice; one that was handed back may come again. */
-    private static void answerDuplicate(TrackedRecord known, Handover.Answer answer) {
+    private static void answerDuplicate(TrackedRecord known, ClientRequest.Responder answer) {
         if (known.outcome == null) {
             answer.taken();
         } else {
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -24,8 +24,8 @@
 import terndyke.node.SlowTurnDetector.Phase;
 import terndyke.node.discovery.Catalogue;
 import terndyke.node.discovery.Watch;
-import terndyke.node.http.Calls;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ConnectionPool;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Entry;
 
@@ -40,14 +40,14 @@
     private final TimerQueue timers = new TimerQueue();
     private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // taken in this turn
     private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // of which the module is still to hear
-    private final List<Handover> deferredRequests = new ArrayList<>(); // handed in before the first turn of the module
+    private final List<ClientRequest> deferredRequests = new ArrayList<>(); // handed in before the first turn of the module
     private final IntakeStage intakeStage;
     private final AdmissionStage admissionStage;
     private final DecisionStage decisionStage;
     private final SendStage sendStage;
     private final NotificationStage notificationStage;
     private final RecordStore recordStore;
-    private final Calls connectionPool;
+    private final ConnectionPool connectionPool;
     private final Catalogue endpointRegistry;
     private final Watch watch;
     private final SlowTurnDetector slowTurnDetector;
@@ -78,7 +78,7 @@
         this.keyQuietMicros = charter.deliverySettings().keyQuietPeriod();
         this.gradeCount = charter.deliverySettings().grades().size();
         slowTurnDetector = new SlowTurnDetector(limits.slowTurnThresholdMicros(), limits.slowTurnLogIntervalMicros(), counters);
-        connectionPool = new Calls(reactor, limits, counters, clock::now, line -> post(new LoopEvent.ConnectionReleased(line)));
+        connectionPool = new ConnectionPool(reactor, limits, counters, clock::now, line -> post(new LoopEvent.ConnectionReleased(line)));
         decisionStage = new DecisionStage(new Dispatcher(charter.deliverySettings()));
         intakeStage = new IntakeStage(book.lastRecordNumber());
         admissionStage = new AdmissionStage(limits, counters, catalogue, book);
@@ -96,7 +96,7 @@
      * Hands a record over from the I/O thread; false where too many wait already, or the desk takes no more. One that
      * comes while the desk ends is either seen by its last look or taken back here, so that it has one answer.
      */
-    public boolean offerRequest(Handover handover) {
+    public boolean offerRequest(ClientRequest handover) {
         if (finished || stopped || queuedRecordCount.get() >= limits.requestQueueCapacity()) {
             return false;
         }
@@ -175,7 +175,7 @@
      */
     private void refuseRemaining() {
         refuseNewRecords();
-        deferredRequests.forEach(handover -> handover.answer().refused(0));
+        deferredRequests.forEach(handover -> handover.responder().refused(0));
         try {
             for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
                 handleAtShutdown(word);
@@ -193,7 +193,7 @@
     private void handleAtShutdown(LoopEvent word) {
         if (word instanceof LoopEvent.RequestReceived handed) {
             counters.add(Counter.REFUSED_AT_DOOR);
-            handed.clientRequest().answer().refused(0);
+            handed.clientRequest().responder().refused(0);
         } else if (word instanceof LoopEvent.ShotCompleted shot) {
             sendStage.handleResult(shot);
         }
@@ -227,7 +227,7 @@
         }
         if (now >= nextSweepAt) {
             nextSweepAt = now + limits.sweepIntervalMicros();
-            connectionPool.sweep(now);
+            connectionPool.closeExpired(now);
             endpointRegistry.forget(now - limits.goneEndpointRetentionMicros(), limits.maxGoneEndpoints());
             recordStore.evictEnded(now, Math.max(keyQuietMicros, limits.endedRecordRetentionMicros()));
             recordStore.compactIfNeeded();
@@ -245,19 +245,19 @@
     private void handleEvent(LoopEvent word, long now) {
         if (word instanceof LoopEvent.RequestReceived handed) {
             queuedRecordCount.decrementAndGet();
-            slowTurnDetector.measureQueueWait(now - handed.clientRequest().readAt());
+            slowTurnDetector.measureQueueWait(now - handed.clientRequest().receivedAt());
             if (isDiscoveryResolved()) {
                 handleClientRequest(handed.clientRequest(), now);
             } else if (deferredRequests.size() < limits.requestQueueCapacity()) {
                 deferredRequests.add(handed.clientRequest());
             } else {
                 counters.add(Counter.REFUSED_AT_DOOR);
-                handed.clientRequest().answer().refused(0);
+                handed.clientRequest().responder().refused(0);
             }
         } else if (word instanceof LoopEvent.ShotCompleted shot) {
             sendStage.handleResult(shot);
         } else if (word instanceof LoopEvent.ConnectionReleased free) {
-            connectionPool.free(free.connection(), now);
+            connectionPool.release(free.connection(), now);
         } else if (word instanceof LoopEvent.ProbeCompleted probe) {
             sendStage.handleResult(probe);
         } else if (word instanceof LoopEvent.NoticeCallCompleted noticed) {
@@ -268,7 +268,7 @@
                 counters.add(Counter.LISTS_TOLD);
                 log.trace(now, "list", ((Event.ListReceived) told).entries().size());
                 decisionStage.addEvent(told);
-                endpointRegistry.left().forEach(connectionPool::left);
+                endpointRegistry.left().forEach(connectionPool::removePeer);
             }
         } else if (word instanceof LoopEvent.DiscoveryAddressChanged moved) {
             watch.moveTo(moved.address());
@@ -287,11 +287,11 @@
      * An id that was taken in this very turn is as owed as one that is booked: the second record is refused. Where it is
      * another record nobody knows whose id it is, and since nothing is owed yet both are refused.
      */
-    private void handleClientRequest(Handover handover, long now) {
+    private void handleClientRequest(ClientRequest handover, long now) {
         TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst().orElse(null);
         if (same != null) {
             counters.add(Counter.REPEATS);
-            handover.answer().refused(0);
+            handover.responder().refused(0);
             if (!same.isSameRecord(handover)) {
                 newRecords.remove(same.entry.number());
                 notificationStage.answerRefused(same, 0);
@@ -314,15 +314,15 @@
      * A client that left before its answer may hand the record in again under another id. One that only repeated
      * another's id takes nothing back: the record is the one that this client handed in, or stays.
      */
-    private void handleClientDisconnect(Handover handover, long now) {
+    private void handleClientDisconnect(ClientRequest handover, long now) {
         TrackedRecord owed = recordStore.findById(handover.id());
         for (TrackedRecord taken : List.copyOf(newRecords.values())) {
-            if (taken.responder == handover.answer()) {
+            if (taken.responder == handover.responder()) {
                 newRecords.remove(taken.entry.number());
                 decisionStage.addEvent(new Event.RecordWithdrawn(taken.entry.number()));
             }
         }
-        if (owed != null && owed.isOpen() && owed.entry.takenAt() == handover.readAt()) {
+        if (owed != null && owed.isOpen() && owed.entry.takenAt() == handover.receivedAt()) {
             counters.add(Counter.WITHDRAWN);
             log.infoAboutRecord("message " + handover.id() + " is over: its client left before its answer");
             recordStore.endRecord(owed, Entry.End.WITHDRAWN, 0);
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -1,6 +1,6 @@
 package terndyke.node.stage;
 
-import terndyke.node.http.Handover;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.Entry;
 
 /** First stage: makes a record of what a client hands in, with its number and its end by the clock. */
@@ -12,10 +12,10 @@
         this.lastRecordNumber = lastNumber;
     }
 
-    TrackedRecord createRecord(Handover handover) {
+    TrackedRecord createRecord(ClientRequest handover) {
         return new TrackedRecord(new Entry.Taken(++lastRecordNumber, handover.id(), handover.grade(), handover.tenant(),
-                handover.key(), handover.destination(), handover.mark(), handover.readAt(),
-                handover.readAt() + handover.remaining(), handover.body()), handover.again(),
-                handover.fromDeadNode(), handover.answer());
+                handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
+                handover.receivedAt() + handover.timeoutMicros(), handover.body()), handover.clientRetry(),
+                handover.fromDeadNode(), handover.responder());
     }
 }
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -15,16 +15,16 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 import terndyke.node.http.Call;
-import terndyke.node.http.Calls;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ConnectionPool;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.Entry;
 
 /** Fifth stage: answers to clients, and notices to the platform, resent until they are answered. */
 public final class NotificationStage {
     private final Limits limits;
     private final Counters counters;
-    private Calls.Peer platform;
-    private final Calls connectionPool;
+    private ConnectionPool.Peer platform;
+    private final ConnectionPool connectionPool;
     private final DecisionStage decisionStage;
     private final RecordStore recordStore;
     private final TimerQueue timers;
@@ -35,14 +35,14 @@
     private boolean callInFlight;
     private int consecutiveFailures; // calls with notices, in a row
     private int maxBatchSize = Integer.MAX_VALUE; // notices in one call at most
-    private Calls.Line connection;
+    private ConnectionPool.PooledConnection connection;
     private long retryAt;
 
-    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, Calls calls, DecisionStage route, RecordStore book,
+    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, ConnectionPool calls, DecisionStage route, RecordStore book,
             TimerQueue timers, NodeLog log, DecisionLoop desk) {
         this.limits = limits;
         this.counters = counters;
-        this.platform = Calls.Peer.platform(platform);
+        this.platform = ConnectionPool.Peer.forPlatform(platform);
         this.connectionPool = calls;
         this.decisionStage = route;
         this.recordStore = book;
@@ -73,8 +73,8 @@
         decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
     }
 
-    private static Handover.Answer removeResponder(TrackedRecord owed) {
-        Handover.Answer answer = owed.responder;
+    private static ClientRequest.Responder removeResponder(TrackedRecord owed) {
+        ClientRequest.Responder answer = owed.responder;
         owed.responder = null;
         return answer;
     }
@@ -133,10 +133,10 @@
         StringBuilder lines = new StringBuilder();
         List<TrackedRecord> batch = nextBatch(pendingNotices, maxBatchSize, limits.maxBodyBytes(), lines);
         byte[] body = lines.toString().getBytes(StandardCharsets.UTF_8);
-        Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.host(),
+        Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.hostHeader(),
             "Content-Type", "application/json", "Content-Length", Integer.toString(body.length)}, body);
         long sent = ++callNumber;
-        connection = connectionPool.start(platform, call, now, result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
+        connection = connectionPool.startCall(platform, call, now, result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
         callInFlight = connection != null;
         counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
         if (!callInFlight) {
@@ -145,7 +145,7 @@
         }
         timers.schedule(now + callTimeout(), () -> {
             if (callInFlight && callNumber == sent) {
-                connectionPool.cancel(connection);
+                connectionPool.cancelCall(connection);
                 handleCallFailure("silence", decisionLoop.now(), 0);
             }
         });
@@ -182,12 +182,12 @@
     void changePlatformAddress(InetSocketAddress address) {
         if (!address.equals(platform.address())) {
             if (callInFlight) {
-                connectionPool.cancel(connection);
+                connectionPool.cancelCall(connection);
                 callInFlight = false;
                 callNumber++;
             }
-            connectionPool.left(platform);
-            platform = Calls.Peer.platform(address);
+            connectionPool.removePeer(platform);
+            platform = ConnectionPool.Peer.forPlatform(address);
             consecutiveFailures = 0;
             retryAt = 0;
         }
@@ -199,7 +199,7 @@
         if (consecutiveFailures++ == 0) {
             log.warn("notices unanswered: " + pendingNotices.size() + " owed, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
         }
-        connectionPool.dropIdle(platform);
+        connectionPool.closeIdle(platform);
         callInFlight = false;
         callNumber++;
         retryAt = now + rest;
--- a/src/main/java/terndyke/node/stage/SendStage.java
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -11,9 +11,9 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 import terndyke.node.discovery.Catalogue;
-import terndyke.node.http.AnswerFlaw;
+import terndyke.node.http.ResponseDefect;
 import terndyke.node.http.Call;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 import terndyke.node.journal.Entry;
 
 /** Fourth stage: shots and probes as calls, and what comes back as events. */
@@ -24,7 +24,7 @@
     private final Limits limits;
     private final Counters counters;
     private final Catalogue endpointRegistry;
-    private final Calls connectionPool;
+    private final ConnectionPool connectionPool;
     private final DecisionStage decisionStage;
     private final RecordStore recordStore;
     private final TimerQueue timers;
@@ -33,7 +33,7 @@
     private final DecisionLoop decisionLoop;
     private int probesInFlight;
 
-    public SendStage(Limits limits, Counters counters, Catalogue catalogue, Calls calls, DecisionStage route, RecordStore book,
+    public SendStage(Limits limits, Counters counters, Catalogue catalogue, ConnectionPool calls, DecisionStage route, RecordStore book,
             TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
         this.limits = limits;
         this.counters = counters;
@@ -72,7 +72,7 @@
         }
         counters.add(Counter.SHOTS);
         long opened = log.isTracing() ? counters.get(Counter.CONNECTIONS_OPENED) : 0;
-        shot.connection = connectionPool.start(member.peer(), buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
+        shot.connection = connectionPool.startCall(member.peer(), buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
                 result -> decisionLoop.post(new LoopEvent.ShotCompleted(owed, shot, endpoint, result, decisionLoop.now())));
         if (shot.connection == null) {
             complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, true, NO_REPORT);
@@ -85,8 +85,8 @@
         }
     }
 
-    private static Call buildCall(TrackedRecord owed, Calls.Peer peer, long wait, long startBy) {
-        List<String> headers = new ArrayList<>(List.of("Host", peer.host(), "Request-Id", owed.entry.id()));
+    private static Call buildCall(TrackedRecord owed, ConnectionPool.Peer peer, long wait, long startBy) {
+        List<String> headers = new ArrayList<>(List.of("Host", peer.hostHeader(), "Request-Id", owed.entry.id()));
         if (owed.entry.mark() != null) {
             headers.addAll(List.of("Idempotency-Key", owed.entry.mark()));
         }
@@ -106,7 +106,7 @@
     private void cancelShot(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending) {
         if (shot.ending == null && shot.connection != null) {
             // of a record that is over, a connection that was not up in time says nothing of the endpoint
-            boolean notConnected = connectionPool.cancel(shot.connection) && owed.isOpen();
+            boolean notConnected = connectionPool.cancelCall(shot.connection) && owed.isOpen();
             Ending how = notConnected ? Ending.NOT_CONNECTED : ending;
             if (owed.isOpen()) {
                 log.infoAboutRecord(describeShot(owed, shot, how, decisionLoop.now()));
@@ -120,18 +120,18 @@
         if (over.shot().ending == null) {
             Call.Result result = over.result();
             Ending ending = toEnding(result);
-            if (ending == Ending.ERROR || result.ending() != null || result.flaw() != AnswerFlaw.NONE) {
+            if (ending == Ending.ERROR || result.ending() != null || result.defect() != ResponseDefect.NONE) {
                 log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt()) + ", status " + result.status()
-                        + ", answer " + result.flaw());
+                        + ", answer " + result.defect());
             }
             if (result.status() == 410) {
                 log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " is over: status 410");
                 recordStore.endRecord(over.trackedRecord(), Entry.End.WITHDRAWN, 0);
             }
             complete(over.trackedRecord(), over.shot(), over.endpointNumber(), ending, over.completedAt(),
-                    ending == Ending.FULL || ending == Ending.RESET ? result.waitTold() : 0,
+                    ending == Ending.FULL || ending == Ending.RESET ? result.retryAfterMicros() : 0,
                     ending == Ending.NOT_SENT && result.lineBusy(),
-                    parseReport(result.load(), reportFields));
+                    parseReport(result.serverLoad(), reportFields));
         }
     }
 
@@ -171,7 +171,7 @@
             // a connection that is turned away at once and closed says nothing of the destination's limit: guards
             // against taking a table of connections that other nodes fill for one; may hurt where a limit closes too
             case 503 -> result.lineBusy() ? Ending.NOT_SENT
-                    : result.shutOut() && result.waitTold() == 0 ? Ending.CROWDED : Ending.FULL;
+                    : result.connectionRejected() && result.retryAfterMicros() == 0 ? Ending.CROWDED : Ending.FULL;
             case 410, 504 -> Ending.NOT_SENT;
             default -> Ending.ERROR;
         };
@@ -210,9 +210,9 @@
         if (member == null) {
             return;
         }
-        Call call = new Call("GET", "/ping", new String[] {"Host", member.peer().host()}, EMPTY_BODY);
+        Call call = new Call("GET", "/ping", new String[] {"Host", member.peer().hostHeader()}, EMPTY_BODY);
         PendingProbe probing = new PendingProbe(member, now);
-        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null : connectionPool.start(member.peer(), call, now,
+        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null : connectionPool.startCall(member.peer(), call, now,
                 result -> decisionLoop.post(new LoopEvent.ProbeCompleted(probing, result, decisionLoop.now())));
         if (probing.connection == null) {
             decisionStage.addEvent(new Event.ProbeEnded(endpoint, Ending.NOT_SENT, 0, NO_REPORT));
@@ -223,7 +223,7 @@
         log.trace(now, "probe", member.uid(), member.destination());
         timers.schedule(now + limits.probeTimeoutMicros(), () -> {
             if (!probing.completed) {
-                connectionPool.cancel(probing.connection);
+                connectionPool.cancelCall(probing.connection);
                 complete(probing, Ending.TIMED_OUT, decisionLoop.now(), NO_REPORT);
             }
         });
@@ -232,7 +232,7 @@
     /** Takes in how a probe ended. */
     void handleResult(LoopEvent.ProbeCompleted probe) {
         if (!probe.pendingProbe().completed) {
-            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(), parseReport(probe.result().load(), reportFields));
+            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(), parseReport(probe.result().serverLoad(), reportFields));
         }
     }
 
@@ -247,7 +247,7 @@
     static final class PendingProbe {
         private final Catalogue.Member member;
         private final long startedAt;
-        private Calls.Line connection;
+        private ConnectionPool.PooledConnection connection;
         private boolean completed;
 
         private PendingProbe(Catalogue.Member member, long firedAt) {
@@ -282,7 +282,7 @@
     void closeIdleConnections(long endpoint) {
         Catalogue.Member member = endpointRegistry.member(endpoint);
         if (member != null) {
-            connectionPool.dropIdle(member.peer());
+            connectionPool.closeIdle(member.peer());
         }
     }
 }
--- a/src/main/java/terndyke/node/stage/TrackedRecord.java
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -6,8 +6,8 @@
 import java.util.Objects;
 
 import terndyke.api.Ending;
-import terndyke.node.http.Calls;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ConnectionPool;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.Entry;
 
 /** A record that the node has taken on, from the taking until nothing needs it any more. */
@@ -16,7 +16,7 @@
     final boolean clientRetry;
     final boolean fromDeadNode;
     final List<Shot> shots = new ArrayList<>(2);
-    Handover.Answer responder; // until the client has its answer
+    ClientRequest.Responder responder; // until the client has its answer
     Entry.End outcome;
     long retryAfterMicros;
     long endedAt; // since when its notice is owed in this life
@@ -30,7 +30,7 @@
         final int zone;
         final long firedAt;
         Ending ending;
-        Calls.Line connection;
+        ConnectionPool.PooledConnection connection;
 
         Shot(int number, long target, String endpoint, int zone, long firedAt) {
             this.number = number;
@@ -41,7 +41,7 @@
         }
     }
 
-    TrackedRecord(Entry.Taken taken, boolean again, boolean fromDeadNode, Handover.Answer answer) {
+    TrackedRecord(Entry.Taken taken, boolean again, boolean fromDeadNode, ClientRequest.Responder answer) {
         this.entry = taken;
         this.clientRetry = again;
         this.fromDeadNode = fromDeadNode;
@@ -49,10 +49,10 @@
     }
 
     /** Whether this is that very record: an id alone does not say so. Of one that is over, the body is gone. */
-    boolean isSameRecord(Handover handover) {
+    boolean isSameRecord(ClientRequest handover) {
         return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
                 && entry.destination() == handover.destination() && (!isOpen()
-                || Objects.equals(entry.mark(), handover.mark()) && Arrays.equals(entry.body(), handover.body()));
+                || Objects.equals(entry.mark(), handover.idempotencyKey()) && Arrays.equals(entry.body(), handover.body()));
     }
 
     void dropBody() {
--- a/src/test/java/terndyke/node/DeliveryNodeTest.java
+++ b/src/test/java/terndyke/node/DeliveryNodeTest.java
@@ -53,7 +53,7 @@
 
 import terndyke.node.Counters.Counter;
 import terndyke.node.discovery.Catalogue;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Entry;
 import terndyke.node.journal.Journal;
@@ -561,9 +561,9 @@
         reactor.start();
         AtomicInteger accepted = new AtomicInteger();
         AtomicInteger answered = new AtomicInteger();
-        Handover.Answer answer = (Handover.Answer) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Handover.Answer.class}, (self, method, given) -> answered.incrementAndGet() > 0 ? null : null);
-        Handover handover = new Handover("r-1", 0, 0, 0, 99, null, 1000, false, false, new byte[0], 0, answer);
+        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
+                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> answered.incrementAndGet() > 0 ? null : null);
+        ClientRequest handover = new ClientRequest("r-1", 0, 0, 0, 99, null, 1000, false, false, new byte[0], 0, answer);
         desk.post(new LoopEvent.ShutdownRequested());
         Thread thread = new Thread(desk);
         thread.start();
@@ -597,12 +597,12 @@
     }
 
     /** A whole desk that is given records before its first turn: what each client hears. */
-    private List<String> runOneTurn(Handover... records) throws Exception {
+    private List<String> runOneTurn(ClientRequest... records) throws Exception {
         Counters counters = new Counters();
         Reactor reactor = new Reactor(configuration().limits(), counters, NO_LOG);
         DecisionLoop desk = createDecisionLoop(reactor, counters, configuration(3, 1024).replace("\"push\"", "\"ask\"")); // waits for no list
         reactor.start();
-        for (Handover record : records) {
+        for (ClientRequest record : records) {
             assertTrue(desk.offerRequest(record));
         }
         desk.post(new LoopEvent.ShutdownRequested());
@@ -615,13 +615,13 @@
 
     private final List<String> clientAnswers = java.util.Collections.synchronizedList(new ArrayList<>());
 
-    private Handover createHandover(String who, long key, String body) {
-        Handover.Answer answer = (Handover.Answer) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Handover.Answer.class}, (self, method, given) -> {
+    private ClientRequest createHandover(String who, long key, String body) {
+        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
+                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> {
                     clientAnswers.add(who + " " + method.getName());
                     return null;
                 });
-        return new Handover("r-1", 0, 0, key, 3, null, 4_000_000, false, false, body.getBytes(StandardCharsets.UTF_8),
+        return new ClientRequest("r-1", 0, 0, key, 3, null, 4_000_000, false, false, body.getBytes(StandardCharsets.UTF_8),
                 new NodeClock().now(), answer);
     }
 
--- a/src/test/java/terndyke/node/discovery/CatalogueTest.java
+++ b/src/test/java/terndyke/node/discovery/CatalogueTest.java
@@ -17,7 +17,7 @@
 import terndyke.api.Event;
 import terndyke.api.ListedEndpoint;
 import terndyke.api.ListedEndpoint.EndpointState;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 
 class CatalogueTest {
     private static final long NOW = 1_000_000;
@@ -68,7 +68,7 @@
     @Test
     void whoComesToAnAddressThatAnotherHasLeftIsAnotherPeer() throws IOException {
         take(1, true, target("s-1", "127.0.0.9:1", "active"));
-        Calls.Peer first = catalogue.member("s-1").peer();
+        ConnectionPool.Peer first = catalogue.member("s-1").peer();
         take(2, true, target("s-2", "127.0.0.9:1", "active"));
         assertEquals(List.of(first), catalogue.left());
         assertNotSame(first, catalogue.member("s-2").peer());
--- a/src/test/java/terndyke/node/discovery/WatchTest.java
+++ b/src/test/java/terndyke/node/discovery/WatchTest.java
@@ -26,7 +26,7 @@
 import terndyke.node.NodeFixtures;
 import terndyke.node.Limits;
 import terndyke.node.http.Call;
-import terndyke.node.http.Calls;
+import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.Reactor;
 
 /** The watch against a discovery that does, call by call, what the test says; the clock is the test's. */
@@ -39,10 +39,10 @@
 
     private final Limits limits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 1_000_000);
     private final BlockingQueue<Answered> answers = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Calls.Line> free = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
     private ServerSocket discovery;
     private Reactor reactor;
-    private Calls calls;
+    private ConnectionPool calls;
     private Watch watch;
     private Socket connection;
     private long now = 1_000_000;
@@ -54,7 +54,7 @@
         Counters counters = new Counters();
         reactor = new Reactor(limits, counters, NodeFixtures.NO_LOG);
         reactor.start();
-        calls = new Calls(reactor, limits, counters, () -> now, free::add);
+        calls = new ConnectionPool(reactor, limits, counters, () -> now, free::add);
         watch(false);
     }
 
@@ -92,7 +92,7 @@
         connection.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
         Answered answered = answers.poll(30, TimeUnit.SECONDS);
-        calls.free(free.poll(30, TimeUnit.SECONDS), now);
+        calls.release(free.poll(30, TimeUnit.SECONDS), now);
         return watch.answered(answered.round, answered.result, now) != null;
     }
 
@@ -106,7 +106,7 @@
         watch.keep(now);
         Answered stale = answers.poll(30, TimeUnit.SECONDS);
         assertNull(watch.answered(stale.round, stale.result, now), "its end is no second break");
-        calls.free(free.poll(30, TimeUnit.SECONDS), now);
+        calls.release(free.poll(30, TimeUnit.SECONDS), now);
         connection.close();
         connection = null;
     }
--- /dev/null
+++ b/src/test/java/terndyke/node/http/ClientConnectionsTest.java
@@ -0,0 +1,185 @@
+package terndyke.node.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.util.Timeout;
+import org.junit.jupiter.api.Test;
+
+import terndyke.node.Limits;
+
+/** Clients' connections by a clock that the test sets, without sockets. */
+class ClientConnectionsTest {
+    private final Limits limits = Limits.fromResources(128, 256, 3, 12, 40, 400_000, 1_000_000);
+    private final Set<IOSession> closed = new HashSet<>();
+    private final Map<IOSession, Long> timeouts = new HashMap<>();
+    private long now = 1_000_000;
+    private final ClientConnections clientConnections = new ClientConnections(limits, () -> now);
+
+    private IOSession createSession() {
+        return (IOSession) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {IOSession.class},
+                (self, method, given) -> switch (method.getName()) {
+                    case "close" -> closed.add((IOSession) self) ? null : null;
+                    case "setSocketTimeout" -> {
+                        timeouts.put((IOSession) self, ((Timeout) given[0]).toMicroseconds());
+                        yield null;
+                    }
+                    case "hashCode" -> System.identityHashCode(self);
+                    case "equals" -> self == given[0];
+                    default -> null;
+                });
+    }
+
+    private void fillToCapacity() {
+        for (int i = 0; i < limits.maxClientConnections(); i++) {
+            clientConnections.accept(createSession());
+        }
+    }
+
+    @Test
+    void aSilentClientIsDisconnectedWithinThreeSeconds() {
+        IOSession silent = createSession();
+        clientConnections.accept(silent);
+        assertTrue(timeouts.get(silent) >= 2_000_000 && timeouts.get(silent) < 2_800_000);
+    }
+
+    @Test
+    void aSlowlyArrivingRequestHasOneDeadlineForAllOfIt() {
+        IOSession slow = createSession();
+        ClientConnections.ClientConnection visit = clientConnections.accept(slow);
+        visit.onInput();
+        long first = timeouts.get(slow);
+        now += 1_500_000;
+        visit.onInput();
+        assertEquals(first - 1_500_000, timeouts.get(slow), "a byte more brings no time more");
+        now += 600_000;
+        visit.onInput();
+        assertTrue(closed.contains(slow));
+    }
+
+    @Test
+    void aRequestBegunAfterASilenceEndsWithinThreeSecondsOfConnecting() {
+        IOSession late = createSession();
+        ClientConnections.ClientConnection visit = clientConnections.accept(late);
+        now += 2_000_000;
+        visit.onInput();
+        assertTrue(now + timeouts.get(late) < 1_000_000 + 3_000_000);
+    }
+
+    @Test
+    void anIdleConnectionIsEvictedForANewClientAndAFreshOneIsNot() {
+        fillToCapacity();
+        IOSession idle = createSession();
+        clientConnections.accept(idle).onInput();
+        now += 1_000;
+        assertTrue(clientConnections.isOverCapacity());
+        assertNotNull(clientConnections.accept(createSession()));
+        assertTrue(closed.isEmpty(), "nobody is turned out in the moment of coming");
+        now += limits.silentClientEvictionMicros();
+        clientConnections.accept(createSession());
+        assertEquals(1, closed.size());
+        assertFalse(closed.contains(idle), "its request is coming in");
+    }
+
+    @Test
+    void aClientThatSentARequestKeepsItsConnectionForTwoSeconds() {
+        IOSession usual = createSession();
+        ClientConnections.ClientConnection visit = clientConnections.accept(usual);
+        visit.onInput();
+        visit.onRequestComplete();
+        visit.onResponseComplete();
+        now += 1_900_000;
+        fillToCapacity();
+        clientConnections.accept(createSession());
+        assertTrue(closed.isEmpty());
+        now += 200_000;
+        clientConnections.accept(createSession());
+        assertTrue(closed.contains(usual));
+    }
+
+    @Test
+    void aLateResponseIsStillAwaitedAndNoEarlierDeadlineAppliesToTheNextRequest() {
+        IOSession usual = createSession();
+        ClientConnections.ClientConnection visit = clientConnections.accept(usual);
+        visit.onInput();
+        visit.onRequestComplete();
+        assertEquals(Timeout.DISABLED.toMicroseconds(), timeouts.get(usual), "a late answer is better than none");
+        visit.onInput(); // the selector spoke, but nothing came
+        now += 2_500_000;
+        visit.onResponseComplete();
+        visit.onInput();
+        assertTrue(closed.isEmpty());
+    }
+
+    @Test
+    void aSilentConnectionIsEvictedForANewClientOnceTheSparePlacesAreTaken() {
+        IOSession silent = createSession();
+        clientConnections.accept(silent);
+        fillToCapacity();
+        for (int i = 1; i < limits.maxExcessClientConnections(); i++) {
+            clientConnections.accept(createSession());
+        }
+        assertNull(clientConnections.accept(createSession()), "nobody had the time to say anything");
+        now += limits.silentClientEvictionMicros() / 2;
+        assertNotNull(clientConnections.accept(createSession()));
+        assertEquals(Set.of(silent), closed);
+    }
+
+    @Test
+    void aClientIsRejectedOnceTheSparePlacesAreTakenAndAClosedConnectionFreesOnePlace() {
+        fillToCapacity();
+        ClientConnections.ClientConnection last = null;
+        for (int i = 0; i < limits.maxExcessClientConnections(); i++) {
+            last = clientConnections.accept(createSession());
+        }
+        assertNull(clientConnections.accept(createSession()));
+        last.markClosed();
+        last.markClosed();
+        assertNotNull(clientConnections.accept(createSession()));
+        assertNull(clientConnections.accept(createSession()));
+    }
+
+    private static void runOnOtherThread(Runnable work) throws InterruptedException {
+        Thread other = new Thread(work);
+        other.start();
+        other.join();
+    }
+
+    @Test
+    void aResponseThatClosesItsConnectionIsWrittenByTheOwnerThread() throws InterruptedException {
+        ClientConnections.ClientConnection visit = clientConnections.accept(createSession());
+        List<Thread> writers = new ArrayList<>();
+        runOnOtherThread(() -> visit.respondAndClose(() -> writers.add(Thread.currentThread())));
+        assertEquals(List.of(), writers);
+        assertTrue(visit.hasPendingResponses());
+        visit.writePendingResponses();
+        visit.respondAndClose(() -> writers.add(Thread.currentThread()));
+        assertEquals(List.of(Thread.currentThread(), Thread.currentThread()), writers);
+        assertFalse(visit.hasPendingResponses());
+    }
+
+    @Test
+    void aResponseOfAnotherThreadIsCountedByTheOwnerThread() throws InterruptedException {
+        IOSession client = createSession();
+        ClientConnections.ClientConnection visit = clientConnections.accept(client);
+        visit.onInput();
+        visit.onRequestComplete();
+        long whole = timeouts.get(client);
+        runOnOtherThread(visit::onResponseComplete);
+        assertEquals(whole, timeouts.get(client), "nothing of the connection changes on another thread");
+        clientConnections.accept(createSession());
+        assertEquals(limits.idleClientTimeoutMicros(), timeouts.get(client));
+    }
+}
--- /dev/null
+++ b/src/test/java/terndyke/node/http/ConnectionPoolTest.java
@@ -0,0 +1,510 @@
+package terndyke.node.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+import terndyke.api.Ending;
+import terndyke.node.Counters;
+import terndyke.node.Counters.Counter;
+import terndyke.node.Limits;
+import terndyke.node.NodeLog;
+
+/** Calls against an endpoint on loopback that does, connection by connection, what the test says. */
+class ConnectionPoolTest {
+    private static final byte[] BODY = "content".getBytes(StandardCharsets.US_ASCII);
+    private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+
+    private final Counters counters = new Counters();
+    private final BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ConnectionPool.PooledConnection> releasedConnections = new LinkedBlockingQueue<>();
+    private final Limits limits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 1_000_000);
+    private ServerSocket endpoint;
+    private Reactor reactor;
+    private ConnectionPool connectionPool;
+    private ConnectionPool.Peer peer;
+
+    @BeforeEach
+    void start() throws IOException {
+        NodeLog log = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
+        endpoint = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
+        endpoint.setSoTimeout(5_000);
+        peer = new ConnectionPool.Peer(endpointAddress());
+        reactor = new Reactor(limits, counters, log);
+        reactor.start();
+        connectionPool = new ConnectionPool(reactor, limits, counters, () -> 0, releasedConnections::add);
+    }
+
+    @AfterEach
+    void stop() throws IOException, InterruptedException {
+        endpoint.close();
+        reactor.close();
+    }
+
+    private InetSocketAddress endpointAddress() {
+        return new InetSocketAddress(endpoint.getInetAddress(), endpoint.getLocalPort());
+    }
+
+    private ConnectionPool.PooledConnection startCall(byte[] body, long now) {
+        return connectionPool.startCall(peer, new Call("POST", "/events", new String[] {"Host", "x", "Content-Length",
+            Integer.toString(body.length)}, body), now, results::add);
+    }
+
+    private Call.Result awaitResult() throws InterruptedException {
+        return results.poll(30, TimeUnit.SECONDS);
+    }
+
+    private static String readRequest(Socket from) throws IOException {
+        StringBuilder text = new StringBuilder();
+        InputStream in = from.getInputStream();
+        while (text.indexOf("\r\n\r\n") < 0 || !text.toString().endsWith("content")) {
+            text.append((char) in.read());
+        }
+        return text.toString();
+    }
+
+    private static void sendResponse(Socket to, String answer) throws IOException {
+        to.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+        to.getOutputStream().flush();
+    }
+
+    @Test
+    void aResponseIsReturnedAndTheConnectionServesTheNextCall() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            assertTrue(readRequest(connection).startsWith("POST /events HTTP/1.1\r\n"));
+            sendResponse(connection, OK_RESPONSE);
+            assertEquals(200, awaitResult().status());
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            startCall(BODY, 1000);
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 429 Slow\r\nRetry-After: 0.25\r\nServer-Load: x0=0.5\r\n"
+                    + "Content-Length: 0\r\n\r\n");
+            Call.Result second = awaitResult();
+            assertEquals(429, second.status());
+            assertEquals(250_000, second.retryAfterMicros());
+            assertEquals("x0=0.5", second.serverLoad());
+        }
+        assertEquals(1, counters.get(Counter.CONNECTIONS_OPENED));
+    }
+
+    @Test
+    void aConnectionClosedOnItsFirstCallWasRejectedAndOneClosedLaterWasNot() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(awaitResult().connectionRejected());
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+        }
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, OK_RESPONSE);
+            assertFalse(awaitResult().connectionRejected());
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            startCall(BODY, 1000);
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            assertFalse(awaitResult().connectionRejected());
+        }
+    }
+
+    @Test
+    void aConnectionReleasedAfterIdleOnesOfItsPeerWereClosedIsClosedAsWell() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, OK_RESPONSE);
+            assertEquals(200, awaitResult().status());
+            ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS); // on its way back when the turn hears of the answer
+            connectionPool.closeIdle(peer);
+            connectionPool.release(line, 0);
+            connection.setSoTimeout(30_000);
+            assertTrue(isClosed(connection));
+        }
+    }
+
+    private static boolean isClosed(Socket connection) throws IOException {
+        try {
+            return connection.getInputStream().read() < 0;
+        } catch (SocketException e) {
+            return true; // closed at once, by a reset
+        }
+    }
+
+    @Test
+    void aRefusedConnectionShowsThatNothingRan() throws Exception {
+        InetSocketAddress nobody = endpointAddress();
+        endpoint.close();
+        connectionPool.startCall(new ConnectionPool.Peer(nobody), new Call("POST", "/events", new String[0], BODY), 0, results::add);
+        assertEquals(Ending.NOT_CONNECTED, awaitResult().ending());
+    }
+
+    @Test
+    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+        }
+        assertEquals(Ending.RESET, awaitResult().ending());
+    }
+
+    @Test
+    void aConnectionThatBreaksBeforeTheLastByteShowsThatNothingRan() throws Exception {
+        endpoint.setReceiveBufferSize(4096);
+        startCall(new byte[8 << 20], 0); // far more than the sockets hold
+        try (Socket connection = endpoint.accept()) {
+            connection.getInputStream().read();
+            connection.setSoLinger(true, 0);
+        }
+        assertEquals(Ending.NOT_CONNECTED, awaitResult().ending());
+    }
+
+    @Test
+    void anUnreadableResponseEndsTheCallAsResetAndDoesNotStopTheNode() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "what is this?\r\n\r\n");
+        }
+        assertEquals(Ending.RESET, awaitResult().ending());
+    }
+
+    @Test
+    void cancellingACallClosesItsConnection() throws Exception {
+        ConnectionPool.PooledConnection line = startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            assertFalse(connectionPool.cancelCall(line), "it was up, so it may have run");
+            connection.setSoTimeout(5_000);
+            int end;
+            try {
+                end = connection.getInputStream().read();
+            } catch (java.net.SocketException e) {
+                end = -1; // a reset is a closing too
+            }
+            assertEquals(-1, end);
+        }
+    }
+
+    @Test
+    void aConnectionIsNotReusedAfterItsIdleTimeout() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, OK_RESPONSE);
+            awaitResult();
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            startCall(BODY, limits.idleConnectionTimeoutMicros());
+            try (Socket second = endpoint.accept()) {
+                readRequest(second);
+                sendResponse(second, OK_RESPONSE);
+                assertEquals(200, awaitResult().status());
+            }
+        }
+    }
+
+    @Test
+    void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+            assertEquals(503, awaitResult().status());
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            startCall(BODY, 0);
+            try (Socket second = endpoint.accept()) {
+                readRequest(second);
+                sendResponse(second, OK_RESPONSE);
+                assertEquals(200, awaitResult().status());
+            }
+        }
+    }
+
+    @Test
+    void anEndlessResponseIsCutOffAndItsOutcomeCounts() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n");
+            assertEquals(200, awaitResult().status());
+            byte[] endless = new byte[1 << 16];
+            try {
+                for (int i = 0; i < 1000; i++) {
+                    connection.getOutputStream().write(endless);
+                }
+            } catch (IOException e) {
+                // closed by the node, as it should be
+            }
+        }
+        ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS);
+        assertTrue(line != null);
+        assertTrue(results.isEmpty());
+    }
+
+    @Test
+    void anIdleConnectionStaysOpenLongerThanTheResponseTimeout() throws Exception {
+        Limits patient = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 15_000_000);
+        connectionPool = new ConnectionPool(reactor, patient, counters, () -> 0, releasedConnections::add);
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, OK_RESPONSE);
+            awaitResult();
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            Thread.sleep(patient.responseReadTimeoutMicros() / 1000 + 400);
+            startCall(BODY, patient.responseReadTimeoutMicros());
+            readRequest(connection);
+            sendResponse(connection, OK_RESPONSE);
+            assertEquals(200, awaitResult().status());
+        }
+        assertEquals(1, counters.get(Counter.CONNECTIONS_OPENED));
+    }
+
+    @Test
+    void aCorruptResponseWithStatus200IsDoneAndItsConnectionIsClosed() throws Exception {
+        for (String spoilt : List.of("HTTP/1.1 200 OK\r\n\u0001\u0002 what\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", "HTTP/1.1 200 OK\r\nNever: ends",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1")) {
+            startCall(BODY, 0);
+            try (Socket connection = endpoint.accept()) {
+                readRequest(connection);
+                sendResponse(connection, spoilt);
+                assertEquals(200, awaitResult().status(), spoilt);
+                assertClosed(connection);
+            }
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+        }
+    }
+
+    private static void assertClosed(Socket connection) throws IOException {
+        connection.setSoTimeout(5_000);
+        try {
+            assertEquals(-1, connection.getInputStream().read());
+        } catch (java.net.SocketException e) {
+            // a reset is a closing too
+        }
+    }
+
+    @Test
+    void aCorruptResponseWithAnyOtherStatusDoesNotProveThatTheCallDidNotRun() throws Exception {
+        for (String spoilt : List.of("HTTP/1.1 2\u0000\u0001\r\n\r\n", "\u0003\u0004\u0005\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\n1",
+                "HTTP/1.1 429 No\r\nContent-Length: x\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\nxx",
+                "HTTP/1.1 100 Go\r\n\r\n".repeat(200))) {
+            startCall(BODY, 0);
+            try (Socket connection = endpoint.accept()) {
+                readRequest(connection);
+                sendResponse(connection, spoilt);
+                assertEquals(Ending.RESET, awaitResult().ending(), spoilt);
+                assertClosed(connection);
+            }
+        }
+    }
+
+    @Test
+    void aFewInformationalResponsesBeforeTheFinalOneAreSkipped() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + OK_RESPONSE);
+            assertEquals(200, awaitResult().status());
+        }
+    }
+
+    @Test
+    void bytesAfterAResponseAreNeverTakenForTheNextResponse() throws Exception {
+        for (String behind : List.of(OK_RESPONSE, "noise", "HTTP/1.1 200 OK\r\n")) {
+            for (boolean later : List.of(false, true)) {
+                startCall(BODY, 0);
+                try (Socket connection = endpoint.accept()) {
+                    readRequest(connection);
+                    sendResponse(connection, OK_RESPONSE + (later ? "" : behind));
+                    assertEquals(200, awaitResult().status());
+                    connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+                    if (later) {
+                        sendResponse(connection, behind);
+                    }
+                    assertClosed(connection);
+                }
+                startCall(BODY, 0);
+                try (Socket second = endpoint.accept()) {
+                    readRequest(second);
+                    sendResponse(second, "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+                    assertEquals(500, awaitResult().status(), behind);
+                }
+                connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
+            }
+        }
+    }
+
+    @Test
+    void aCallThatCannotStartBeforeItsDeadlineIsNeverSent() throws Exception {
+        connectionPool = new ConnectionPool(reactor, limits, counters, () -> 500, releasedConnections::add);
+        connectionPool.startCall(peer, new Call("POST", "/events", new String[] {"Host", "x"}, BODY, 500), 0, results::add);
+        try (Socket connection = endpoint.accept()) {
+            assertEquals(Ending.NOT_SENT, awaitResult().ending());
+            assertClosed(connection);
+        }
+    }
+
+    @Test
+    void aCallWhoseLastByteWouldBeSentTooLateIsNeverSentCompletely() throws Exception {
+        AtomicLong clock = new AtomicLong(100);
+        connectionPool = new ConnectionPool(reactor, limits, counters, clock::get, releasedConnections::add);
+        endpoint.setReceiveBufferSize(4096);
+        byte[] large = new byte[8 << 20]; // far more than the sockets hold
+        connectionPool.startCall(peer, new Call("POST", "/events", new String[] {"Content-Length", Integer.toString(large.length)},
+                large, 500), 0, results::add);
+        try (Socket connection = endpoint.accept()) {
+            connection.setSoTimeout(5_000);
+            assertEquals('P', connection.getInputStream().read(), "it has begun in time");
+            clock.set(500);
+            long read = 1;
+            byte[] some = new byte[1 << 16];
+            try {
+                for (int n = 0; n >= 0; n = connection.getInputStream().read(some)) {
+                    read += n;
+                }
+            } catch (SocketException e) {
+                // closed with bytes left
+            }
+            assertTrue(read < large.length, "read " + read);
+        }
+        assertEquals(Ending.NOT_CONNECTED, awaitResult().ending(), "it never ran");
+    }
+
+    @Test
+    void aRetryAfterIsReportedThoughTheResponseBodyIsTruncated() throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 429 Slow\r\nRetry-After: 0.25\r\nContent-Length: 9\r\n\r\ncut");
+        }
+        Call.Result result = awaitResult();
+        assertEquals(Ending.RESET, result.ending());
+        assertEquals(250_000, result.retryAfterMicros());
+    }
+
+    /** The wait's line is there, the end of its head never comes. */
+    @ParameterizedTest
+    @CsvSource({"'429 Slow\r\nRetry-After: 0.25\r\nContent-Le', 250000", "'503 Full\r\nretry-AFTER:2\r\n', 2000000",
+        "'429 Slow\r\nX: Retry-After: 3\r\nContent-Le', 0", "'429 Slow\r\nRetry-After: 1', 1000000", "'429 Slow\r\nRetry-After:', 0", "'500 No\r\nRetry-After: 1\r\n', 0"})
+    void aRetryAfterIsReportedThoughTheResponseHeadIsTruncated(String answer, long wait) throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 " + answer);
+        }
+        Call.Result result = awaitResult();
+        assertEquals(Ending.RESET, result.ending());
+        assertEquals(wait, result.retryAfterMicros());
+    }
+
+    /** The connection ends in good order, before the answer does: what is there proves nothing. */
+    @ParameterizedTest
+    @CsvSource({"'HTTP/1.1 200', CUT_IN_FIRST_LINE", "'HTTP/1.1 200 OK\r', CUT_IN_FIRST_LINE", "'HTTP/1.1 503 No', CUT_IN_FIRST_LINE",
+        "'HTTP/1.1 410 Gone\r\n', CUT_IN_HEAD", "'HTTP/1.1 429 Slow\r\nRetry-A', CUT_IN_HEAD",
+        "'HTTP/1.1 504 No\r\nContent-Length: 0\r\n', CUT_IN_HEAD", "'HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\nno', CUT_IN_BODY",
+        "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n', CUT_IN_BODY",
+        "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0', CUT_IN_BODY", "'', MISSING"})
+    void aTruncatedResponseDoesNotProveThatTheCallDidNotRun(String answer, ResponseDefect flaw) throws Exception {
+        startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, answer);
+            connection.shutdownOutput();
+            Call.Result result = awaitResult();
+            assertEquals(Ending.RESET, result.ending());
+            assertEquals(flaw, result.defect());
+        }
+    }
+
+    @Test
+    void aCallWithheldBeforeItsConnectionIsUpIsNeverSent() throws Exception {
+        endpoint.close();
+        endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        ConnectionPool.Peer full = new ConnectionPool.Peer(endpointAddress());
+        List<Socket> others = new java.util.ArrayList<>();
+        for (int i = 0; i < 2; i++) { // the queue of the socket is full, so the next one is not up yet
+            others.add(new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
+        }
+        connectionPool = new ConnectionPool(reactor, Limits.fromResources(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters, () -> 0, releasedConnections::add);
+        connectionPool.startCall(full, new Call("POST", "/events", new String[] {"Host", "x"}, BODY), 0, results::add);
+        connectionPool.withhold(full);
+        for (int i = 0; i < 3; i++) {
+            endpoint.accept().close();
+        }
+        assertEquals(Ending.NOT_SENT, awaitResult().ending());
+        for (Socket other : others) {
+            other.close();
+        }
+    }
+
+    @Test
+    void aCallDecidedOnBeforeARetryAfterWasReceivedIsNotSentAfterIt() throws Exception {
+        AtomicLong clock = new AtomicLong(1_000);
+        connectionPool = new ConnectionPool(reactor, limits, counters, clock::get, releasedConnections::add);
+        startCall(BODY, 1_000);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            sendResponse(connection, "HTTP/1.1 429 Slow\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
+            assertEquals(429, awaitResult().status());
+            connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 1_000);
+            startCall(BODY, 900);
+            assertEquals(Ending.NOT_SENT, awaitResult().ending());
+            startCall(BODY, 1_001);
+            try (Socket second = endpoint.accept()) {
+                readRequest(second);
+                sendResponse(second, OK_RESPONSE);
+                assertEquals(200, awaitResult().status());
+            }
+        }
+    }
+
+    @Test
+    void aConnectionToARemovedPeerIsNotReusedHoweverLateItIsReleased() throws Exception {
+        ConnectionPool.PooledConnection line = startCall(BODY, 0);
+        try (Socket connection = endpoint.accept()) {
+            readRequest(connection);
+            connectionPool.removePeer(peer);
+            sendResponse(connection, OK_RESPONSE);
+            assertEquals(200, awaitResult().status());
+            releasedConnections.poll(30, TimeUnit.SECONDS);
+            connectionPool.release(line, 0);
+            assertClosed(connection);
+        }
+    }
+
+    @Test
+    void connectionsAreBounded() {
+        for (int i = 0; i < limits.maxEndpointConnections(); i++) {
+            assertTrue(startCall(BODY, 0) != null);
+        }
+        assertNull(startCall(BODY, 0));
+        assertTrue(connectionPool.startCall(ConnectionPool.Peer.forPlatform(endpointAddress()), new Call("POST", "/v2/finals", new String[0], BODY), 0,
+                results::add) != null, "notices always go");
+    }
+}
--- a/src/test/java/terndyke/node/stage/DecisionLoopTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -23,7 +23,7 @@
 import terndyke.node.NodeFixtures;
 import terndyke.node.NodeClock;
 import terndyke.node.discovery.Catalogue;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Journal;
 
@@ -52,8 +52,8 @@
             }
         };
         List<String> heard = Collections.synchronizedList(new ArrayList<>());
-        Handover.Answer answer = (Handover.Answer) Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Handover.Answer.class}, (self, method, given) -> heard.add(method.getName()) ? null : null);
+        ClientRequest.Responder answer = (ClientRequest.Responder) Proxy.newProxyInstance(getClass().getClassLoader(),
+                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> heard.add(method.getName()) ? null : null);
         Counters counters = new Counters();
         try (ServerSocket silent = new ServerSocket(0)) {
             NodeConfiguration charter = NodeFixtures.configuration(folder, new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
@@ -66,7 +66,7 @@
             Thread thread = new Thread(desk);
             thread.start();
             CompletableFuture<Boolean> taken = new CompletableFuture<>();
-            new Thread(() -> taken.complete(desk.offerRequest(new Handover("r-1", 0, 0, 0, 3, null, 4_000_000, false, false,
+            new Thread(() -> taken.complete(desk.offerRequest(new ClientRequest("r-1", 0, 0, 0, 3, null, 4_000_000, false, false,
                     new byte[0], new NodeClock().now(), answer)))).start();
             adding.await();
             desk.post(new LoopEvent.ShutdownRequested());
--- a/src/test/java/terndyke/node/stage/StageTest.java
+++ b/src/test/java/terndyke/node/stage/StageTest.java
@@ -23,7 +23,7 @@
 import terndyke.node.NodeLog;
 import terndyke.node.discovery.Catalogue;
 import terndyke.node.http.Call;
-import terndyke.node.http.Handover;
+import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.Entry;
 import terndyke.node.journal.Journal;
 
@@ -53,9 +53,9 @@
                 NOW_MICROS, new ArrayList<>());
     }
 
-    private Handover handover(String id, int destination, int size, long readAt) {
-        return new Handover(id, 0, 0, 9, destination, null, 5_000_000, false, false, new byte[size], readAt,
-                new Handover.Answer() {
+    private ClientRequest handover(String id, int destination, int size, long readAt) {
+        return new ClientRequest(id, 0, 0, 9, destination, null, 5_000_000, false, false, new byte[size], readAt,
+                new ClientRequest.Responder() {
                     @Override
                     public void taken() {
                         answers.add("taken");
@@ -112,10 +112,10 @@
         assertFalse(admissionStage.admit(handover("r", 3, 0, NOW_MICROS), NOW_MICROS));
         TrackedRecord over = addRecord("s");
         recordStore.endRecord(over, Entry.End.DONE, 0);
-        Handover told = handover("s", 3, 10, NOW_MICROS);
+        ClientRequest told = handover("s", 3, 10, NOW_MICROS);
         assertFalse(admissionStage.admit(told, NOW_MICROS));
-        assertFalse(admissionStage.admit(new Handover("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW_MICROS,
-                told.answer()), NOW_MICROS));
+        assertFalse(admissionStage.admit(new ClientRequest("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW_MICROS,
+                told.responder()), NOW_MICROS));
         assertEquals(List.of("taken", "refused 0", "delivered", "refused 0"), answers);
     }
 
