--- a/src/main/java/terndyke/Main.java
+++ b/src/main/java/terndyke/Main.java
@@ -22,7 +22,7 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 
-import terndyke.adapter.BenchAdapter;
+import terndyke.adapter.SimulatorAdapter;
 import terndyke.node.NodeConfiguration;
 import terndyke.node.DeliveryNode;
 import terndyke.node.NodeLog;
@@ -165,7 +165,7 @@
 
     private static int runAdapter() {
         try {
-            return new BenchAdapter().serve(new FileInputStream(FileDescriptor.in),
+            return new SimulatorAdapter().serve(new FileInputStream(FileDescriptor.in),
                     new FileOutputStream(FileDescriptor.out), System.err);
         } catch (IOException e) {
             System.err.println("terndyke: " + e.getMessage());
--- a/src/main/java/terndyke/adapter/BatchReader.java
+++ b/src/main/java/terndyke/adapter/BatchReader.java
@@ -16,168 +16,168 @@
 
 /** Decodes one batch frame. Each item comes with the instance it is for; lists by number last over batches. */
 final class BatchReader {
-    static final int HEADER = 16;
-    private static final int SIZE = 48;
-    private static final int ENTRY = 23;
-    private static final Ending[] ENDINGS = Arrays.copyOf(Ending.values(), Ending.NOT_SENT.ordinal() + 1); // by code
+    static final int HEADER_BYTES = 16;
+    private static final int EVENT_BYTES = 48;
+    private static final int LIST_ENTRY_BYTES = 23;
+    private static final Ending[] ENDINGS_BY_CODE = Arrays.copyOf(Ending.values(), Ending.NOT_SENT.ordinal() + 1); // by code
 
     /** One thing told to an instance: exactly one of terms, event and exit is set. */
-    record Item(int instance, DeliverySettings terms, Event event, boolean exit) { }
+    record InstanceInput(int instance, DeliverySettings settings, Event event, boolean exit) { }
 
     /** A decoded frame. */
-    record Batch(long now, List<Item> items) { }
+    record Batch(long now, List<InstanceInput> inputs) { }
 
-    private final Map<Integer, List<ListedEndpoint>> lists = new java.util.TreeMap<>();
+    private final Map<Integer, List<ListedEndpoint>> listsByNumber = new java.util.TreeMap<>();
     private ByteBuffer frame;
-    private int at;
-    private int tail;
+    private int eventOffset;
+    private int tailOffset;
 
-    Batch read(ByteBuffer whole) throws WireException {
+    Batch read(ByteBuffer whole) throws InvalidInputException {
         frame = whole;
-        if (whole.limit() < HEADER) {
-            throw new WireException("batch of " + whole.limit() + " bytes is shorter than its header");
+        if (whole.limit() < HEADER_BYTES) {
+            throw new InvalidInputException("batch of " + whole.limit() + " bytes is shorter than its header");
         }
         double clock = whole.getDouble(4);
         long count = whole.getInt(12) & 0xffffffffL;
-        if (HEADER + count * SIZE > whole.limit()) {
-            throw new WireException("batch of " + whole.limit() + " bytes is too short for its " + count + " records");
+        if (HEADER_BYTES + count * EVENT_BYTES > whole.limit()) {
+            throw new InvalidInputException("batch of " + whole.limit() + " bytes is too short for its " + count + " records");
         }
         if (!Double.isFinite(clock)) {
-            throw new WireException("batch clock is not a number");
+            throw new InvalidInputException("batch clock is not a number");
         }
-        tail = (int) (HEADER + count * SIZE);
-        List<Item> items = new ArrayList<>((int) count);
+        tailOffset = (int) (HEADER_BYTES + count * EVENT_BYTES);
+        List<InstanceInput> items = new ArrayList<>((int) count);
         int instance = -1;
         for (int i = 0; i < count; i++) {
-            at = HEADER + i * SIZE;
-            int code = frame.getShort(at) & 0xffff;
+            eventOffset = HEADER_BYTES + i * EVENT_BYTES;
+            int code = frame.getShort(eventOffset) & 0xffff;
             try {
                 if (code == 12) {
-                    instance = u16(2);
+                    instance = readUnsignedShort(2);
                 } else if (code == 11) {
-                    lists.put(u8(2), entries());
+                    listsByNumber.put(readUnsignedByte(2), readListEntries());
                 } else if (code < 1 || code > 12) {
-                    throw new WireException("unknown event code " + code);
+                    throw new InvalidInputException("unknown event code " + code);
                 } else if (instance < 0) {
-                    throw new WireException("event code " + code + " before any TO");
+                    throw new InvalidInputException("event code " + code + " before any TO");
                 } else if (code == 1) {
-                    items.add(new Item(instance, TermsReader.read(frame.getLong(at + 2), text(10)), null, false));
+                    items.add(new InstanceInput(instance, DeliverySettingsReader.read(frame.getLong(eventOffset + 2), readText(10)), null, false));
                 } else if (code == 10) {
-                    items.add(new Item(instance, null, null, true));
+                    items.add(new InstanceInput(instance, null, null, true));
                 } else {
-                    items.add(new Item(instance, null, event(code), false));
+                    items.add(new InstanceInput(instance, null, readEvent(code), false));
                 }
-            } catch (WireException e) {
-                throw new WireException("record " + i + " at byte " + at + ": " + e.getMessage());
+            } catch (InvalidInputException e) {
+                throw new InvalidInputException("record " + i + " at byte " + eventOffset + ": " + e.getMessage());
             } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
-                throw new WireException("record " + i + " at byte " + at + ": points outside the frame");
+                throw new InvalidInputException("record " + i + " at byte " + eventOffset + ": points outside the frame");
             }
         }
         return new Batch(Math.round(clock * 1e6), items);
     }
 
-    private Event event(int code) throws WireException {
+    private Event readEvent(int code) throws InvalidInputException {
         return switch (code) {
-            case 2 -> list();
-            case 3 -> new Event.RecordAccepted(frame.getLong(at + 2), u16(10), frame.getInt(at + 12),
-                    frame.getLong(at + 16), micros(24), (u8(44) & 1) != 0 ? micros(32) : 0,
-                    (int) frame.getFloat(at + 40), (u8(44) & 2) != 0, (u8(44) & 4) != 0, (u8(44) & 16) != 0);
-            case 4 -> new Event.ResponseStarted(frame.getLong(at + 2), u8(10), endpoint(at + 11), micros(17));
-            case 5 -> new Event.ShotEnded(frame.getLong(at + 2), u8(29), endpoint(at + 10), ending(28), micros(16),
-                    ending(28) == Ending.FULL ? (frame.getInt(at + 24) & 0xffffffffL) * 1000 : 0,
-                    ending(28) == Ending.NOT_SENT && frame.getInt(at + 24) == 1, u8(30) != 0, report(31));
-            case 6 -> new Event.RecordWithdrawn(frame.getLong(at + 2));
-            case 7 -> new Event.TimerExpired(frame.getInt(at + 2));
-            case 8 -> new Event.ProbeEnded(endpoint(at + 2), ending(8), micros(9), report(17));
-            default -> new Event.PeerMessageReceived(u16(2), bytes(4));
+            case 2 -> readListEvent();
+            case 3 -> new Event.RecordAccepted(frame.getLong(eventOffset + 2), readUnsignedShort(10), frame.getInt(eventOffset + 12),
+                    frame.getLong(eventOffset + 16), readMicros(24), (readUnsignedByte(44) & 1) != 0 ? readMicros(32) : 0,
+                    (int) frame.getFloat(eventOffset + 40), (readUnsignedByte(44) & 2) != 0, (readUnsignedByte(44) & 4) != 0, (readUnsignedByte(44) & 16) != 0);
+            case 4 -> new Event.ResponseStarted(frame.getLong(eventOffset + 2), readUnsignedByte(10), readEndpoint(eventOffset + 11), readMicros(17));
+            case 5 -> new Event.ShotEnded(frame.getLong(eventOffset + 2), readUnsignedByte(29), readEndpoint(eventOffset + 10), readEnding(28), readMicros(16),
+                    readEnding(28) == Ending.FULL ? (frame.getInt(eventOffset + 24) & 0xffffffffL) * 1000 : 0,
+                    readEnding(28) == Ending.NOT_SENT && frame.getInt(eventOffset + 24) == 1, readUnsignedByte(30) != 0, readLoadReport(31));
+            case 6 -> new Event.RecordWithdrawn(frame.getLong(eventOffset + 2));
+            case 7 -> new Event.TimerExpired(frame.getInt(eventOffset + 2));
+            case 8 -> new Event.ProbeEnded(readEndpoint(eventOffset + 2), readEnding(8), readMicros(9), readLoadReport(17));
+            default -> new Event.PeerMessageReceived(readUnsignedShort(2), readContent(4));
         };
     }
 
-    private Event list() throws WireException {
-        int kind = u8(11);
+    private Event readListEvent() throws InvalidInputException {
+        int kind = readUnsignedByte(11);
         if (kind == 2) {
             return new Event.ListRequestFailed();
         }
         if (kind > 3) {
-            throw new WireException("VIEW of unknown kind " + kind);
+            throw new InvalidInputException("VIEW of unknown kind " + kind);
         }
-        List<ListedEndpoint> entries = lists.get(u8(10));
+        List<ListedEndpoint> entries = listsByNumber.get(readUnsignedByte(10));
         if (entries == null) {
-            throw new WireException("VIEW names list " + u8(10) + ", which no CENSUS has brought");
+            throw new InvalidInputException("VIEW names list " + readUnsignedByte(10) + ", which no CENSUS has brought");
         }
         return new Event.ListReceived(entries, kind != 0);
     }
 
-    private List<ListedEndpoint> entries() throws WireException {
-        long from = frame.getInt(at + 3) & 0xffffffffL;
-        long count = frame.getInt(at + 7) & 0xffffffffL;
-        if (tail + from + count * ENTRY > frame.limit()) {
-            throw new WireException("CENSUS points outside the frame");
+    private List<ListedEndpoint> readListEntries() throws InvalidInputException {
+        long from = frame.getInt(eventOffset + 3) & 0xffffffffL;
+        long count = frame.getInt(eventOffset + 7) & 0xffffffffL;
+        if (tailOffset + from + count * LIST_ENTRY_BYTES > frame.limit()) {
+            throw new InvalidInputException("CENSUS points outside the frame");
         }
         List<ListedEndpoint> entries = new ArrayList<>((int) count);
         for (int i = 0; i < count; i++) {
-            int p = (int) (tail + from) + i * ENTRY;
+            int p = (int) (tailOffset + from) + i * LIST_ENTRY_BYTES;
             EndpointState standing = switch (frame.get(p + 12)) {
                 case 0 -> EndpointState.GONE;
                 case 1 -> EndpointState.READY;
                 case 2 -> EndpointState.DRAINING;
-                default -> throw new WireException("CENSUS entry " + i + ": unknown readiness " + frame.get(p + 12));
+                default -> throw new InvalidInputException("CENSUS entry " + i + ": unknown readiness " + frame.get(p + 12));
             };
-            entries.add(new ListedEndpoint(endpoint(p), frame.get(p + 6) & 0xff, frame.get(p + 7) & 0xff,
+            entries.add(new ListedEndpoint(readEndpoint(p), frame.get(p + 6) & 0xff, frame.get(p + 7) & 0xff,
                     frame.getFloat(p + 8), standing, Math.round(frame.getDouble(p + 13) * 1e6),
                     frame.getShort(p + 21) & 0xffff));
         }
         return List.copyOf(entries);
     }
 
-    private float[] report(int offset) throws WireException {
-        int n = u8(offset);
+    private float[] readLoadReport(int offset) throws InvalidInputException {
+        int n = readUnsignedByte(offset);
         if (n > 4) {
-            throw new WireException("load report of " + n + " values");
+            throw new InvalidInputException("load report of " + n + " values");
         }
         float[] values = new float[n];
         for (int i = 0; i < n; i++) {
-            values[i] = frame.getFloat(at + offset + 1 + 4 * i);
+            values[i] = frame.getFloat(eventOffset + offset + 1 + 4 * i);
         }
         return values;
     }
 
-    private Ending ending(int offset) throws WireException {
-        int code = u8(offset);
-        if (code >= ENDINGS.length) {
-            throw new WireException("unknown ending " + code);
+    private Ending readEnding(int offset) throws InvalidInputException {
+        int code = readUnsignedByte(offset);
+        if (code >= ENDINGS_BY_CODE.length) {
+            throw new InvalidInputException("unknown ending " + code);
         }
-        return ENDINGS[code];
+        return ENDINGS_BY_CODE[code];
     }
 
-    private long endpoint(int position) {
+    private long readEndpoint(int position) {
         return (frame.getInt(position) & 0xffffffffL) << 16 | frame.getShort(position + 4) & 0xffff;
     }
 
-    private byte[] bytes(int offset) throws WireException {
-        long from = tail + (frame.getInt(at + offset) & 0xffffffffL);
-        long length = frame.getInt(at + offset + 4) & 0xffffffffL;
+    private byte[] readContent(int offset) throws InvalidInputException {
+        long from = tailOffset + (frame.getInt(eventOffset + offset) & 0xffffffffL);
+        long length = frame.getInt(eventOffset + offset + 4) & 0xffffffffL;
         if (from + length > frame.limit()) {
-            throw new WireException("content points outside the frame");
+            throw new InvalidInputException("content points outside the frame");
         }
         byte[] content = new byte[(int) length];
         frame.get((int) from, content);
         return content;
     }
 
-    private String text(int offset) throws WireException {
-        return new String(bytes(offset), StandardCharsets.UTF_8);
+    private String readText(int offset) throws InvalidInputException {
+        return new String(readContent(offset), StandardCharsets.UTF_8);
     }
 
-    private long micros(int offset) {
-        return Math.round(frame.getDouble(at + offset) * 1e6);
+    private long readMicros(int offset) {
+        return Math.round(frame.getDouble(eventOffset + offset) * 1e6);
     }
 
-    private int u16(int offset) {
-        return frame.getShort(at + offset) & 0xffff;
+    private int readUnsignedShort(int offset) {
+        return frame.getShort(eventOffset + offset) & 0xffff;
     }
 
-    private int u8(int offset) {
-        return frame.get(at + offset) & 0xff;
+    private int readUnsignedByte(int offset) {
+        return frame.get(eventOffset + offset) & 0xff;
     }
 }
--- a/src/main/java/terndyke/adapter/WireException.java
+++ b/src/main/java/terndyke/adapter/InvalidInputException.java
@@ -1,10 +1,10 @@
 package terndyke.adapter;
 
 /** Input that does not follow the wire; the message names what is wrong and where. */
-public final class WireException extends Exception {
+public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    InvalidInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/terndyke/adapter/ReplyWriter.java
+++ b/src/main/java/terndyke/adapter/ReplyWriter.java
@@ -8,92 +8,92 @@
 
 /** Encodes one reply frame. */
 final class ReplyWriter {
-    private static final int HEADER = 8;
-    private static final int SIZE = 24;
+    private static final int HEADER_BYTES = 8;
+    private static final int ACTION_BYTES = 24;
 
-    private ByteBuffer records = ByteBuffer.allocate(1 << 12);
-    private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
-    private int at;
+    private ByteBuffer actionBuffer = ByteBuffer.allocate(1 << 12);
+    private final ByteArrayOutputStream tailBytes = new ByteArrayOutputStream();
+    private int actionOffset;
 
-    void instance(int number) {
-        next(7);
-        records.putShort(at + 2, (short) number);
+    void writeInstance(int number) {
+        beginAction(7);
+        actionBuffer.putShort(actionOffset + 2, (short) number);
     }
 
-    void crash(String text) {
-        next(13);
-        content(2, text.getBytes(StandardCharsets.UTF_8));
+    void writeCrash(String text) {
+        beginAction(13);
+        writeContent(2, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    void action(Action action) {
+    void writeAction(Action action) {
         if (action instanceof Action.SendShot shoot) {
-            next(6);
-            records.putLong(at + 2, shoot.id());
-            endpoint(10, shoot.endpoint());
-            records.putDouble(at + 16, shoot.deadline() / 1e6);
+            beginAction(6);
+            actionBuffer.putLong(actionOffset + 2, shoot.id());
+            writeEndpoint(10, shoot.endpoint());
+            actionBuffer.putDouble(actionOffset + 16, shoot.deadline() / 1e6);
         } else if (action instanceof Action.StartTimer wake) {
-            next(8);
-            records.putDouble(at + 2, wake.delay() / 1e6);
-            records.putInt(at + 10, wake.token());
+            beginAction(8);
+            actionBuffer.putDouble(actionOffset + 2, wake.delay() / 1e6);
+            actionBuffer.putInt(actionOffset + 10, wake.token());
         } else if (action instanceof Action.Recall recall) {
-            next(4);
-            records.putLong(at + 2, recall.id());
-            records.put(at + 10, (byte) recall.shotIndex());
+            beginAction(4);
+            actionBuffer.putLong(actionOffset + 2, recall.id());
+            actionBuffer.put(actionOffset + 10, (byte) recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce) {
-            next(12);
-            records.putLong(at + 2, bounce.id());
-            records.putDouble(at + 10, bounce.retryAfter() / 1e6);
+            beginAction(12);
+            actionBuffer.putLong(actionOffset + 2, bounce.id());
+            actionBuffer.putDouble(actionOffset + 10, bounce.retryAfter() / 1e6);
         } else if (action instanceof Action.Terminate terminate) {
-            next(3);
-            records.putLong(at + 2, terminate.id());
+            beginAction(3);
+            actionBuffer.putLong(actionOffset + 2, terminate.id());
         } else if (action instanceof Action.Probe probe) {
-            next(10);
-            endpoint(2, probe.endpoint());
+            beginAction(10);
+            writeEndpoint(2, probe.endpoint());
         } else if (action instanceof Action.CloseIdleConnections drop) {
-            next(11);
-            endpoint(2, drop.endpoint());
+            beginAction(11);
+            writeEndpoint(2, drop.endpoint());
         } else if (action instanceof Action.SendPeerMessage note) {
-            next(9);
-            records.putShort(at + 2, (short) note.peer());
-            content(4, note.content());
+            beginAction(9);
+            actionBuffer.putShort(actionOffset + 2, (short) note.peer());
+            writeContent(4, note.content());
         } else if (action instanceof Action.SetListSubscription follow) {
-            next(5);
-            records.put(at + 2, (byte) (follow.subscribed() ? 1 : 0));
+            beginAction(5);
+            actionBuffer.put(actionOffset + 2, (byte) (follow.subscribed() ? 1 : 0));
         } else if (action instanceof Action.FetchList) {
-            next(1);
+            beginAction(1);
         } else if (action instanceof Action.Log log) {
-            next(2);
-            content(2, log.text().getBytes(StandardCharsets.UTF_8));
+            beginAction(2);
+            writeContent(2, log.text().getBytes(StandardCharsets.UTF_8));
         }
     }
 
     /** The frame of all that was added since the last one. */
-    byte[] frame() {
-        int body = records.position();
-        ByteBuffer frame = ByteBuffer.allocate(HEADER + body + tail.size());
-        frame.putInt(body / SIZE).putInt(frame.capacity()).put(records.array(), 0, body).put(tail.toByteArray());
-        records.clear();
-        tail.reset();
+    byte[] finishFrame() {
+        int body = actionBuffer.position();
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + body + tailBytes.size());
+        frame.putInt(body / ACTION_BYTES).putInt(frame.capacity()).put(actionBuffer.array(), 0, body).put(tailBytes.toByteArray());
+        actionBuffer.clear();
+        tailBytes.reset();
         return frame.array();
     }
 
-    private void next(int code) {
-        at = records.position();
-        if (records.remaining() < SIZE) {
-            records = ByteBuffer.allocate(2 * records.capacity()).put(records.array(), 0, at);
+    private void beginAction(int code) {
+        actionOffset = actionBuffer.position();
+        if (actionBuffer.remaining() < ACTION_BYTES) {
+            actionBuffer = ByteBuffer.allocate(2 * actionBuffer.capacity()).put(actionBuffer.array(), 0, actionOffset);
         }
-        records.put(new byte[SIZE]);
-        records.putShort(at, (short) code);
+        actionBuffer.put(new byte[ACTION_BYTES]);
+        actionBuffer.putShort(actionOffset, (short) code);
     }
 
-    private void endpoint(int offset, long endpoint) {
-        records.putInt(at + offset, (int) (endpoint >>> 16));
-        records.putShort(at + offset + 4, (short) endpoint);
+    private void writeEndpoint(int offset, long endpoint) {
+        actionBuffer.putInt(actionOffset + offset, (int) (endpoint >>> 16));
+        actionBuffer.putShort(actionOffset + offset + 4, (short) endpoint);
     }
 
-    private void content(int offset, byte[] content) {
-        records.putInt(at + offset, tail.size());
-        records.putInt(at + offset + 4, content.length);
-        tail.writeBytes(content);
+    private void writeContent(int offset, byte[] content) {
+        actionBuffer.putInt(actionOffset + offset, tailBytes.size());
+        actionBuffer.putInt(actionOffset + offset + 4, content.length);
+        tailBytes.writeBytes(content);
     }
 }
--- a/src/main/java/terndyke/adapter/BenchAdapter.java
+++ b/src/main/java/terndyke/adapter/SimulatorAdapter.java
@@ -17,8 +17,8 @@
 import terndyke.decision.Dispatcher;
 
 /** Hosts many instances of the decision module on the bench's wire. It maps and decides nothing. */
-public final class BenchAdapter {
-    private static final int LARGEST_FRAME = 1 << 30;
+public final class SimulatorAdapter {
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private final Map<Integer, Dispatcher> instances = new TreeMap<>();
     private final BatchReader reader = new BatchReader();
@@ -28,46 +28,46 @@
     public int serve(InputStream rawInput, OutputStream output, PrintStream log) throws IOException {
         InputStream input = new BufferedInputStream(rawInput, 1 << 16);
         try {
-            for (byte[] frame = nextFrame(input); frame != null; frame = nextFrame(input)) {
-                output.write(answer(frame));
+            for (byte[] frame = readFrame(input); frame != null; frame = readFrame(input)) {
+                output.write(processFrame(frame));
                 output.flush();
             }
             return 0;
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             log.println("terndyke: malformed input: " + e.getMessage());
             return 2;
         }
     }
 
-    private static byte[] nextFrame(InputStream input) throws IOException, WireException {
+    private static byte[] readFrame(InputStream input) throws IOException, InvalidInputException {
         byte[] length = input.readNBytes(4);
         if (length.length == 0) {
             return null;
         }
         if (length.length < 4) {
-            throw new WireException("input ends inside a frame's length");
+            throw new InvalidInputException("input ends inside a frame's length");
         }
         int size = ByteBuffer.wrap(length).getInt();
-        if (size < BatchReader.HEADER || size > LARGEST_FRAME) {
-            throw new WireException("frame length " + (size & 0xffffffffL) + " is out of bounds");
+        if (size < BatchReader.HEADER_BYTES || size > MAX_FRAME_BYTES) {
+            throw new InvalidInputException("frame length " + (size & 0xffffffffL) + " is out of bounds");
         }
         byte[] rest = input.readNBytes(size - 4);
         if (rest.length < size - 4) {
-            throw new WireException("input ends after " + (rest.length + 4) + " of a frame's " + size + " bytes");
+            throw new InvalidInputException("input ends after " + (rest.length + 4) + " of a frame's " + size + " bytes");
         }
         return ByteBuffer.allocate(size).put(length).put(rest).array();
     }
 
     /** Answers one frame. */
-    byte[] answer(byte[] frame) throws WireException {
+    byte[] processFrame(byte[] frame) throws InvalidInputException {
         BatchReader.Batch batch = reader.read(ByteBuffer.wrap(frame));
         Map<Integer, List<Event>> told = new LinkedHashMap<>();
-        for (BatchReader.Item item : batch.items()) {
-            if (item.terms() != null) {
-                instances.put(item.instance(), new Dispatcher(item.terms()));
+        for (BatchReader.InstanceInput item : batch.inputs()) {
+            if (item.settings() != null) {
+                instances.put(item.instance(), new Dispatcher(item.settings()));
                 told.put(item.instance(), new ArrayList<>());
             } else if (!instances.containsKey(item.instance())) {
-                throw new WireException("event for instance " + item.instance() + ", which has not been attached");
+                throw new InvalidInputException("event for instance " + item.instance() + ", which has not been attached");
             } else if (item.exit()) {
                 instances.remove(item.instance());
                 told.remove(item.instance());
@@ -75,21 +75,21 @@
                 told.computeIfAbsent(item.instance(), n -> new ArrayList<>()).add(item.event());
             }
         }
-        told.forEach((number, events) -> act(number, batch.now(), events));
-        return writer.frame();
+        told.forEach((number, events) -> runInstance(number, batch.now(), events));
+        return writer.finishFrame();
     }
 
-    private void act(int number, long now, List<Event> events) {
+    private void runInstance(int number, long now, List<Event> events) {
         try {
             List<Action> actions = instances.get(number).handleEvents(now, events);
             if (!actions.isEmpty()) {
-                writer.instance(number);
-                actions.forEach(writer::action);
+                writer.writeInstance(number);
+                actions.forEach(writer::writeAction);
             }
         } catch (RuntimeException e) {
-            writer.instance(number);
+            writer.writeInstance(number);
             StackTraceElement[] trace = e.getStackTrace();
-            writer.crash(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.writeCrash(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 }
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 import terndyke.api.Event;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ClientRequestHandler;
 import terndyke.node.http.Reactor;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 import terndyke.node.stage.RecordStore;
 import terndyke.node.stage.DecisionLoop;
@@ -40,17 +40,17 @@
     public void start() throws IOException {
         Limits limits = configuration.limits();
         NodeClock clock = new NodeClock();
-        List<Entry> entries = new ArrayList<>();
+        List<JournalEntry> entries = new ArrayList<>();
         try {
             journal = Journal.open(configuration.stateDirectory(), limits.maxJournalBytes(), log, entries);
         } catch (IOException e) {
             throw new IOException("no journal can be kept in " + configuration.stateDirectory() + ": " + e.getMessage(), e);
         }
-        Catalogue catalogue = new Catalogue(configuration.zoneNames(), configuration.endpointKinds());
+        EndpointRegistry catalogue = new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds());
         List<String> unread = new ArrayList<>();
         Event.ListReceived known = new Event.ListReceived(List.of(), true);
         try {
-            known = configuration.knownEndpoints().isEmpty() ? known : catalogue.take(configuration.knownEndpoints(), clock.now(), unread);
+            known = configuration.knownEndpoints().isEmpty() ? known : catalogue.update(configuration.knownEndpoints(), clock.now(), unread);
         } catch (IOException e) {
             log.warn("known list passed over: " + e.getMessage());
         }
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 
-import terndyke.adapter.TermsReader;
-import terndyke.adapter.WireException;
+import terndyke.adapter.DeliverySettingsReader;
+import terndyke.adapter.InvalidInputException;
 import terndyke.api.DeliverySettings;
 import terndyke.node.http.ConnectionPool;
 
@@ -39,16 +39,16 @@
     static NodeConfiguration read(byte[] json, StartupOptions place) throws IOException {
         try {
             return read(FlatJson.read(json), place);
-        } catch (WireException | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static NodeConfiguration read(Map<String, String> told, StartupOptions place) throws IOException, WireException {
+    private static NodeConfiguration read(Map<String, String> told, StartupOptions place) throws IOException, InvalidInputException {
         Map<String, String> settings = FlatJson.subtree("settings", told);
         settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // one a call
         String seed = told.getOrDefault("seed", "0");
-        DeliverySettings terms = TermsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
+        DeliverySettings terms = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
         Limits limits = Limits.fromResources((int) readNumber(told, "limits.memory_mb", 192),
                 (int) readNumber(told, "limits.sockets", 1024), readNumber(told, "limits.disk_mb", 3), terms.slots(),
                 terms.maxPendingRecords(), readSecondsAsMicros(settings, "ceilings.connectTimeout", 1), terms.idleConnectionTimeout());
--- a/src/main/java/terndyke/node/discovery/Catalogue.java
+++ b/src/main/java/terndyke/node/discovery/EndpointRegistry.java
@@ -19,26 +19,26 @@
 import terndyke.node.http.ConnectionPool;
 
 /** The list of endpoints as discovery told it: numbers for the module, addresses for the calls. */
-public final class Catalogue {
+public final class EndpointRegistry {
     private final List<String> zones;
     private final List<String> kinds;
-    private final Map<String, Member> byName = new HashMap<>();
-    private final Map<Long, Member> byNumber = new HashMap<>();
-    private final Map<Integer, AtomicLong> destinations = new HashMap<>(); // and when one last told a wait
-    private final Set<Member> gone = new LinkedHashSet<>(); // longest first
-    private final List<ConnectionPool.Peer> left = new ArrayList<>();
+    private final Map<String, Endpoint> byUid = new HashMap<>();
+    private final Map<Long, Endpoint> byNumber = new HashMap<>();
+    private final Map<Integer, AtomicLong> lastRetryAfterByDestination = new HashMap<>(); // and when one last told a wait
+    private final Set<Endpoint> goneEndpoints = new LinkedHashSet<>(); // longest first
+    private final List<ConnectionPool.Peer> removedPeers = new ArrayList<>();
     private long version;
     private long lastNumber = -1;
 
     /** One endpoint: its number is for this life of the node alone. */
-    public static final class Member {
+    public static final class Endpoint {
         private final String uid;
         private final long number;
-        private ListedEndpoint listed;
+        private ListedEndpoint listEntry;
         private ConnectionPool.Peer peer;
         private long goneAt;
 
-        private Member(String uid, long number) {
+        private Endpoint(String uid, long number) {
             this.uid = uid;
             this.number = number;
         }
@@ -52,11 +52,11 @@
         }
 
         public int destination() {
-            return listed.destination();
+            return listEntry.destination();
         }
 
         public int zone() {
-            return listed.zone();
+            return listEntry.zone();
         }
 
         public ConnectionPool.Peer peer() {
@@ -64,7 +64,7 @@
         }
     }
 
-    public Catalogue(List<String> zones, List<String> kinds) {
+    public EndpointRegistry(List<String> zones, List<String> kinds) {
         this.zones = List.copyOf(zones);
         this.kinds = List.copyOf(kinds);
     }
@@ -73,20 +73,20 @@
         return version;
     }
 
-    public boolean knows(int destination) {
-        return destinations.containsKey(destination);
+    public boolean hasDestination(int destination) {
+        return lastRetryAfterByDestination.containsKey(destination);
     }
 
-    public Member member(long number) {
+    public Endpoint findEndpoint(long number) {
         return byNumber.get(number);
     }
 
-    public Member member(String uid) {
-        return byName.get(uid);
+    public Endpoint findEndpoint(String uid) {
+        return byUid.get(uid);
     }
 
     /** Takes in an answer of discovery; entries that cannot be read are passed over and told in the list. */
-    public Event.ListReceived take(Map<String, String> told, long now, List<String> unread) throws IOException {
+    public Event.ListReceived update(Map<String, String> told, long now, List<String> unread) throws IOException {
         long rev;
         int count;
         try {
@@ -98,7 +98,7 @@
         List<ListedEndpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             try {
-                entries.add(entry(told, "targets." + i + ".", now, entries));
+                entries.add(applyEntry(told, "targets." + i + ".", now, entries));
             } catch (IllegalArgumentException e) {
                 unread.add("entry " + i + ": " + e.getMessage());
             }
@@ -107,26 +107,26 @@
         boolean whole = Boolean.parseBoolean(told.get("all"));
         if (whole) {
             Set<ListedEndpoint> listed = new HashSet<>(entries);
-            byNumber.values().stream().filter(member -> !listed.contains(member.listed))
-                    .forEach(member -> leave(member, now));
+            byNumber.values().stream().filter(member -> !listed.contains(member.listEntry))
+                    .forEach(member -> markGone(member, now));
         }
         return new Event.ListReceived(entries, whole);
     }
 
-    private void leave(Member member, long now) {
-        if (gone.add(member)) {
-            ListedEndpoint was = member.listed;
+    private void markGone(Endpoint member, long now) {
+        if (goneEndpoints.add(member)) {
+            ListedEndpoint was = member.listEntry;
             member.goneAt = now;
-            member.listed = new ListedEndpoint(was.endpoint(), was.zone(), was.kind(), was.rate(), EndpointState.GONE,
+            member.listEntry = new ListedEndpoint(was.endpoint(), was.zone(), was.kind(), was.rate(), EndpointState.GONE,
                     was.joined(), was.destination());
-            left.add(member.peer);
+            removedPeers.add(member.peer);
         }
     }
 
     /** Who has left its address since the last call. */
-    public List<ConnectionPool.Peer> left() {
-        List<ConnectionPool.Peer> since = List.copyOf(left);
-        left.clear();
+    public List<ConnectionPool.Peer> pollRemovedPeers() {
+        List<ConnectionPool.Peer> since = List.copyOf(removedPeers);
+        removedPeers.clear();
         return since;
     }
 
@@ -134,24 +134,24 @@
      * Forgets who was gone before that time, and the longest gone of too many. Guards against lists that always bring
      * new endpoints; one that comes back later is a new one, and the module knows nothing of its past.
      */
-    public void forget(long before, int atMost) {
-        for (Iterator<Member> all = gone.iterator(); all.hasNext();) {
-            Member member = all.next();
-            if (member.goneAt >= before && gone.size() <= atMost) {
+    public void evictGone(long before, int atMost) {
+        for (Iterator<Endpoint> all = goneEndpoints.iterator(); all.hasNext();) {
+            Endpoint member = all.next();
+            if (member.goneAt >= before && goneEndpoints.size() <= atMost) {
                 return;
             }
             all.remove();
-            byName.remove(member.uid, member);
+            byUid.remove(member.uid, member);
             byNumber.remove(member.number);
         }
     }
 
     /** Takes in an answer as it came over the socket. */
-    public Event.ListReceived take(byte[] json, long now, List<String> unread) throws IOException {
-        return take(FlatJson.read(json), now, unread);
+    public Event.ListReceived update(byte[] json, long now, List<String> unread) throws IOException {
+        return update(FlatJson.read(json), now, unread);
     }
 
-    private ListedEndpoint entry(Map<String, String> told, String at, long now, List<ListedEndpoint> entries) {
+    private ListedEndpoint applyEntry(Map<String, String> told, String at, long now, List<ListedEndpoint> entries) {
         String uid = told.get(at + "uid");
         InetSocketAddress address = ConnectionPool.parseAddress(told.get(at + "endpoint"));
         EndpointState standing = switch (String.valueOf(told.get(at + "state"))) {
@@ -160,35 +160,35 @@
             case "left" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("unknown state " + told.get(at + "state"));
         };
-        Member known = uid == null ? null : byName.get(uid);
+        Endpoint known = uid == null ? null : byUid.get(uid);
         String group = told.get(at + "pod_group");
         if (known != null && group != null && Integer.parseInt(group) != known.destination()) {
-            leave(known, now); // its number stays with its old destination
-            entries.add(known.listed);
+            markGone(known, now); // its number stays with its old destination
+            entries.add(known.listEntry);
             known = null;
         }
         if (uid == null || address == null && (known == null || standing == EndpointState.READY)) {
             throw new IllegalArgumentException("no uid or no address in numbers");
         }
         int destination = known != null ? known.destination() : Integer.parseInt(group);
-        Member member = known != null ? known : new Member(uid, ++lastNumber);
+        Endpoint member = known != null ? known : new Endpoint(uid, ++lastNumber);
         float rate = Float.parseFloat(told.getOrDefault(at + "capacity_hint", "0"));
-        member.listed = new ListedEndpoint(member.number, Math.max(0, zones.indexOf(told.get(at + "az"))),
+        member.listEntry = new ListedEndpoint(member.number, Math.max(0, zones.indexOf(told.get(at + "az"))),
                 Math.max(0, kinds.indexOf(told.get(at + "model"))), Float.isFinite(rate) ? rate : 0, standing,
                 Long.parseLong(told.getOrDefault(at + "boot_ms", "0")) * 1000, destination);
         ConnectionPool.Peer was = member.peer;
-        boolean moved = address != null && (was == null || !was.address().equals(address) || gone.contains(member));
+        boolean moved = address != null && (was == null || !was.address().equals(address) || goneEndpoints.contains(member));
         if (was != null && moved) {
-            left.add(was);
+            removedPeers.add(was);
         }
-        AtomicLong toldAt = destinations.computeIfAbsent(destination, number -> new AtomicLong());
+        AtomicLong toldAt = lastRetryAfterByDestination.computeIfAbsent(destination, number -> new AtomicLong());
         member.peer = moved ? new ConnectionPool.Peer(address, toldAt) : was;
-        gone.remove(member);
+        goneEndpoints.remove(member);
         if (standing == EndpointState.GONE) {
-            leave(member, now);
+            markGone(member, now);
         }
-        byName.put(uid, member);
+        byUid.put(uid, member);
         byNumber.put(member.number, member);
-        return member.listed;
+        return member.listEntry;
     }
 }
--- a/src/main/java/terndyke/node/journal/Journal.java
+++ b/src/main/java/terndyke/node/journal/Journal.java
@@ -18,42 +18,42 @@
  * takes its place. Plain writes, so what was written outlives the process, not the machine.
  */
 public final class Journal implements Closeable {
-    private static final int FRAME = 8;
-    private static final int LEAST = 9; // an entry's type and number
-    private static final int MOST = 1 << 17; // more than a body and its headers can come to
-    private static final int BLOCK = 512;
-
-    private final Path current;
-    private final Path next;
-    private final long most;
+    private static final int FRAME_HEADER_BYTES = 8;
+    private static final int MIN_PAYLOAD_BYTES = 9; // an entry's type and number
+    private static final int MAX_PAYLOAD_BYTES = 1 << 17; // more than a body and its headers can come to
+    private static final int BLOCK_BYTES = 512;
+
+    private final Path currentPath;
+    private final Path nextPath;
+    private final long maxBytes;
     private final NodeLog log;
     private RandomAccessFile file;
     private long size;
 
     private Journal(Path folder, long most, NodeLog log) {
-        this.current = folder.resolve("journal");
-        this.next = folder.resolve("journal.next");
-        this.most = most;
+        this.currentPath = folder.resolve("journal");
+        this.nextPath = folder.resolve("journal.next");
+        this.maxBytes = most;
         this.log = log;
     }
 
     /** Opens the folder's journal and adds what it holds to the given list; a torn tail is cut off. */
-    public static Journal open(Path folder, long most, NodeLog log, List<Entry> held) throws IOException {
+    public static Journal open(Path folder, long most, NodeLog log, List<JournalEntry> held) throws IOException {
         Files.createDirectories(folder);
         Journal journal = new Journal(folder, most, log);
-        Files.deleteIfExists(journal.next); // a compaction that was not finished; the old file holds all
-        journal.file = new RandomAccessFile(journal.current.toFile(), "rw");
-        journal.read(held);
+        Files.deleteIfExists(journal.nextPath); // a compaction that was not finished; the old file holds all
+        journal.file = new RandomAccessFile(journal.currentPath.toFile(), "rw");
+        journal.readEntries(held);
         return journal;
     }
 
-    private void read(List<Entry> held) throws IOException {
+    private void readEntries(List<JournalEntry> held) throws IOException {
         long length = file.length();
         byte[] bytes = new byte[(int) Math.min(length, Integer.MAX_VALUE - 8)];
         file.readFully(bytes);
         ByteBuffer all = ByteBuffer.wrap(bytes);
-        for (int at = 0; at + FRAME < bytes.length; at++) {
-            byte[] payload = payload(all, at);
+        for (int at = 0; at + FRAME_HEADER_BYTES < bytes.length; at++) {
+            byte[] payload = readPayload(all, at);
             if (payload == null) {
                 continue; // a torn tail, or a damaged entry before others that are whole
             }
@@ -61,11 +61,11 @@
                 log.warn("journal: " + (at - size) + " damaged bytes passed over at byte " + size);
             }
             try {
-                held.add(EntryCodec.decode(payload));
+                held.add(JournalEntryCodec.decode(payload));
             } catch (IOException e) {
                 log.warn("journal: entry at byte " + at + " passed over: " + e.getMessage());
             }
-            size = at + FRAME + payload.length;
+            size = at + FRAME_HEADER_BYTES + payload.length;
             at = (int) size - 1;
         }
         if (size < length) {
@@ -76,13 +76,13 @@
     }
 
     /** The payload of the whole entry that begins there, or null where none does. */
-    private static byte[] payload(ByteBuffer all, int at) {
+    private static byte[] readPayload(ByteBuffer all, int at) {
         int length = all.getInt(at);
-        if (length < LEAST || length > MOST || length > all.capacity() - at - FRAME) {
+        if (length < MIN_PAYLOAD_BYTES || length > MAX_PAYLOAD_BYTES || length > all.capacity() - at - FRAME_HEADER_BYTES) {
             return null;
         }
         byte[] payload = new byte[length];
-        all.get(at + FRAME, payload);
+        all.get(at + FRAME_HEADER_BYTES, payload);
         return checksum(payload) == all.getInt(at + 4) ? payload : null;
     }
 
@@ -92,19 +92,19 @@
         return (int) sum.getValue();
     }
 
-    private static byte[] frame(Entry entry) {
-        byte[] payload = EntryCodec.encode(entry);
-        return ByteBuffer.allocate(FRAME + payload.length).putInt(payload.length).putInt(checksum(payload))
+    private static byte[] encodeFrame(JournalEntry entry) {
+        byte[] payload = JournalEntryCodec.encode(entry);
+        return ByteBuffer.allocate(FRAME_HEADER_BYTES + payload.length).putInt(payload.length).putInt(checksum(payload))
                 .put(payload).array();
     }
 
-    private static long blocks(long bytes) {
-        return (bytes + BLOCK - 1) / BLOCK * BLOCK;
+    private static long roundUpToBlock(long bytes) {
+        return (bytes + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
 
     /** How many bytes would still go in, leaving room for a compaction that keeps as much as the given live bytes. */
-    public long room(long live) {
-        return most - blocks(size) - blocks(live);
+    public long remainingBytes(long live) {
+        return maxBytes - roundUpToBlock(size) - roundUpToBlock(live);
     }
 
     public long size() {
@@ -112,9 +112,9 @@
     }
 
     /** Appends one entry whole, or not at all. */
-    public void append(Entry entry) throws IOException {
-        byte[] frame = frame(entry);
-        if (blocks(size + frame.length) > most) {
+    public void append(JournalEntry entry) throws IOException {
+        byte[] frame = encodeFrame(entry);
+        if (roundUpToBlock(size + frame.length) > maxBytes) {
             throw new IOException("journal is full");
         }
         try {
@@ -128,27 +128,27 @@
     }
 
     /** The bytes that an entry takes. */
-    public static int bytes(Entry entry) {
-        return frame(entry).length;
+    public static int encodedSize(JournalEntry entry) {
+        return encodeFrame(entry).length;
     }
 
     /** Replaces the file by one that holds the given entries alone; the old one stays where there is no room. */
-    public boolean compact(Iterable<Entry> live) throws IOException {
+    public boolean compact(Iterable<JournalEntry> live) throws IOException {
         ByteArrayOutputStream whole = new ByteArrayOutputStream(1 << 16);
-        for (Entry entry : live) {
-            whole.writeBytes(frame(entry));
+        for (JournalEntry entry : live) {
+            whole.writeBytes(encodeFrame(entry));
         }
-        if (blocks(size) + blocks(whole.size()) > most) {
+        if (roundUpToBlock(size) + roundUpToBlock(whole.size()) > maxBytes) {
             return false;
         }
-        RandomAccessFile fresh = new RandomAccessFile(next.toFile(), "rw");
+        RandomAccessFile fresh = new RandomAccessFile(nextPath.toFile(), "rw");
         try {
             fresh.setLength(0);
             fresh.write(whole.toByteArray());
-            Files.move(next, current, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(nextPath, currentPath, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             fresh.close();
-            Files.deleteIfExists(next);
+            Files.deleteIfExists(nextPath);
             throw e;
         }
         file.close();
--- a/src/main/java/terndyke/node/journal/EntryCodec.java
+++ b/src/main/java/terndyke/node/journal/JournalEntryCodec.java
@@ -10,13 +10,13 @@
 import terndyke.api.Ending;
 
 /** Entries as bytes and back. */
-final class EntryCodec {
+final class JournalEntryCodec {
     private static final Ending[] ENDINGS = Ending.values();
-    private static final Entry.End[] ENDS = Entry.End.values();
+    private static final JournalEntry.RecordOutcome[] RECORD_OUTCOMES = JournalEntry.RecordOutcome.values();
 
-    private EntryCodec() { }
+    private JournalEntryCodec() { }
 
-    static byte[] encode(Entry entry) {
+    static byte[] encode(JournalEntry entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try {
             write(entry, new DataOutputStream(bytes));
@@ -26,8 +26,8 @@
         return bytes.toByteArray();
     }
 
-    private static void write(Entry entry, DataOutputStream out) throws IOException {
-        if (entry instanceof Entry.Taken taken) {
+    private static void write(JournalEntry entry, DataOutputStream out) throws IOException {
+        if (entry instanceof JournalEntry.RecordAccepted taken) {
             out.writeByte(1);
             out.writeLong(taken.number());
             text(out, taken.id());
@@ -35,45 +35,45 @@
             out.writeInt(taken.tenant());
             out.writeLong(taken.key());
             out.writeInt(taken.destination());
-            text(out, taken.mark());
-            out.writeLong(taken.takenAt());
+            text(out, taken.idempotencyKey());
+            out.writeLong(taken.acceptedAt());
             out.writeLong(taken.abandonAt());
             out.writeInt(taken.body().length);
             out.write(taken.body());
-        } else if (entry instanceof Entry.ShotFired fired) {
+        } else if (entry instanceof JournalEntry.ShotFired fired) {
             out.writeByte(2);
             out.writeLong(fired.number());
             out.writeInt(fired.shot());
-            text(out, fired.endpoint());
+            text(out, fired.endpointUid());
             out.writeInt(fired.zone());
-            out.writeLong(fired.at());
-        } else if (entry instanceof Entry.ShotOver over) {
+            out.writeLong(fired.firedAt());
+        } else if (entry instanceof JournalEntry.ShotEnded over) {
             out.writeByte(3);
             out.writeLong(over.number());
             out.writeInt(over.shot());
             out.writeByte(over.ending().ordinal());
-        } else if (entry instanceof Entry.Ended ended) {
+        } else if (entry instanceof JournalEntry.RecordEnded ended) {
             out.writeByte(4);
             out.writeLong(ended.number());
-            out.writeByte(ended.end().ordinal());
-            out.writeLong(ended.waitTold());
+            out.writeByte(ended.outcome().ordinal());
+            out.writeLong(ended.retryAfter());
         } else {
             out.writeByte(5);
             out.writeLong(entry.number());
         }
     }
 
-    static Entry decode(byte[] bytes) throws IOException {
+    static JournalEntry decode(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int type = in.readUnsignedByte();
         long number = in.readLong();
-        Entry entry = switch (type) {
-            case 1 -> new Entry.Taken(number, text(in), in.readInt(), in.readInt(), in.readLong(), in.readInt(),
-                    text(in), in.readLong(), in.readLong(), body(in));
-            case 2 -> new Entry.ShotFired(number, in.readInt(), text(in), in.readInt(), in.readLong());
-            case 3 -> new Entry.ShotOver(number, in.readInt(), ENDINGS[in.readUnsignedByte() % ENDINGS.length]);
-            case 4 -> new Entry.Ended(number, ENDS[in.readUnsignedByte() % ENDS.length], in.readLong());
-            case 5 -> new Entry.Told(number);
+        JournalEntry entry = switch (type) {
+            case 1 -> new JournalEntry.RecordAccepted(number, text(in), in.readInt(), in.readInt(), in.readLong(), in.readInt(),
+                    text(in), in.readLong(), in.readLong(), readBody(in));
+            case 2 -> new JournalEntry.ShotFired(number, in.readInt(), text(in), in.readInt(), in.readLong());
+            case 3 -> new JournalEntry.ShotEnded(number, in.readInt(), ENDINGS[in.readUnsignedByte() % ENDINGS.length]);
+            case 4 -> new JournalEntry.RecordEnded(number, RECORD_OUTCOMES[in.readUnsignedByte() % RECORD_OUTCOMES.length], in.readLong());
+            case 5 -> new JournalEntry.NoticeAnswered(number);
             default -> throw new IOException("entry of unknown type " + type);
         };
         if (in.available() > 0) {
@@ -92,14 +92,14 @@
 
     private static String text(DataInputStream in) throws IOException {
         int length = in.readInt();
-        return length < 0 ? null : new String(bytes(in, length), StandardCharsets.UTF_8);
+        return length < 0 ? null : new String(readBytes(in, length), StandardCharsets.UTF_8);
     }
 
-    private static byte[] body(DataInputStream in) throws IOException {
-        return bytes(in, in.readInt());
+    private static byte[] readBody(DataInputStream in) throws IOException {
+        return readBytes(in, in.readInt());
     }
 
-    private static byte[] bytes(DataInputStream in, int length) throws IOException {
+    private static byte[] readBytes(DataInputStream in, int length) throws IOException {
         if (length < 0 || length > in.available()) {
             throw new IOException("length " + length + " points outside the entry");
         }
--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -3,18 +3,18 @@
 import terndyke.node.Counters;
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ClientRequest;
 
 /** Second stage: what cannot be taken on is answered here, before anything is booked or decided. */
 public final class AdmissionStage {
     private final Limits limits;
     private final Counters counters;
-    private final Catalogue endpointRegistry;
+    private final EndpointRegistry endpointRegistry;
     private final RecordStore recordStore;
     private boolean shuttingDown;
 
-    public AdmissionStage(Limits limits, Counters counters, Catalogue catalogue, RecordStore book) {
+    public AdmissionStage(Limits limits, Counters counters, EndpointRegistry catalogue, RecordStore book) {
         this.limits = limits;
         this.counters = counters;
         this.endpointRegistry = catalogue;
@@ -41,7 +41,7 @@
             } else { // another record under an id that is taken: it may come again under its own
                 handover.responder().refused(0);
             }
-        } else if (!endpointRegistry.knows(handover.destination())) {
+        } else if (!endpointRegistry.hasDestination(handover.destination())) {
             counters.add(Counter.MALFORMED);
             handover.responder().failed(400);
         } else {
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -22,12 +22,12 @@
 import terndyke.node.NodeLog;
 import terndyke.node.SlowTurnDetector;
 import terndyke.node.SlowTurnDetector.Phase;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.discovery.Watch;
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 
 /** The decision thread: owns the dispatcher and all records, and passes each through the stages in order. */
 public final class DecisionLoop implements Runnable {
@@ -48,7 +48,7 @@
     private final NotificationStage notificationStage;
     private final RecordStore recordStore;
     private final ConnectionPool connectionPool;
-    private final Catalogue endpointRegistry;
+    private final EndpointRegistry endpointRegistry;
     private final Watch watch;
     private final SlowTurnDetector slowTurnDetector;
     private final long keyQuietMicros;
@@ -61,12 +61,12 @@
     private volatile boolean stopped; // not even where a turn takes too long
     private volatile boolean queueClosed; // nothing more is taken from the inbox
 
-    public DecisionLoop(NodeConfiguration charter, Reactor reactor, Catalogue catalogue, RecordStore book, NodeClock clock, Counters counters,
+    public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
             NodeLog log) {
         this(charter, reactor, catalogue, book, clock, counters, log, new LinkedBlockingQueue<>());
     }
 
-    DecisionLoop(NodeConfiguration charter, Reactor reactor, Catalogue catalogue, RecordStore book, NodeClock clock, Counters counters,
+    DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
             NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
         this.eventQueue = inbox;
         this.limits = charter.limits();
@@ -131,7 +131,7 @@
             counters.add(Counter.RESTORED, owed.noticeSettled ? 0 : 1);
             if (owed.entry.grade() >= gradeCount) {
                 log.warn("journal: a record of an unknown service grade, ended without its delivery");
-                notificationStage.endRecord(owed, Entry.End.TERMINATED, 0);
+                notificationStage.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
                 continue;
             }
             recoveredRecords.add(owed);
@@ -144,7 +144,7 @@
 
     /** The module hears of records by the time that is left, so it hears of them only in the turn that it acts in. */
     private void beginOnceDiscoveryResolved(long now) {
-        if (isDiscoveryResolved() || !watch.tried()) {
+        if (isDiscoveryResolved() || !watch.hasCompletedFirstCall()) {
             return;
         }
         recoveredRecords.forEach(owed -> sendStage.restore(owed, now));
@@ -214,8 +214,8 @@
         slowTurnDetector.endEventPhase(words, now());
         timers.runDue(now);
         slowTurnDetector.endPhase(Phase.TIMERS, now());
-        watch.keep(now);
-        if (watch.failed()) {
+        watch.runDueActions(now);
+        if (watch.pollFailure()) {
             decisionStage.addEvent(new Event.ListRequestFailed());
         }
         beginOnceDiscoveryResolved(now);
@@ -228,7 +228,7 @@
         if (now >= nextSweepAt) {
             nextSweepAt = now + limits.sweepIntervalMicros();
             connectionPool.closeExpired(now);
-            endpointRegistry.forget(now - limits.goneEndpointRetentionMicros(), limits.maxGoneEndpoints());
+            endpointRegistry.evictGone(now - limits.goneEndpointRetentionMicros(), limits.maxGoneEndpoints());
             recordStore.evictEnded(now, Math.max(keyQuietMicros, limits.endedRecordRetentionMicros()));
             recordStore.compactIfNeeded();
             slowTurnDetector.endPhase(Phase.SWEEP, now());
@@ -263,15 +263,15 @@
         } else if (word instanceof LoopEvent.NoticeCallCompleted noticed) {
             notificationStage.handleNoticeResult(noticed, now);
         } else if (word instanceof LoopEvent.WatchCompleted watched) {
-            Event told = watch.answered(watched.callNumber(), watched.result(), now);
+            Event told = watch.handleResult(watched.callNumber(), watched.result(), now);
             if (told != null) {
                 counters.add(Counter.LISTS_TOLD);
                 log.trace(now, "list", ((Event.ListReceived) told).entries().size());
                 decisionStage.addEvent(told);
-                endpointRegistry.left().forEach(connectionPool::removePeer);
+                endpointRegistry.pollRemovedPeers().forEach(connectionPool::removePeer);
             }
         } else if (word instanceof LoopEvent.DiscoveryAddressChanged moved) {
-            watch.moveTo(moved.address());
+            watch.changeDiscoveryAddress(moved.address());
             notificationStage.changePlatformAddress(moved.address());
         } else if (word instanceof LoopEvent.ClientDisconnected left) {
             handleClientDisconnect(left.clientRequest(), now);
@@ -305,7 +305,7 @@
     }
 
     static Event.RecordAccepted toEvent(TrackedRecord owed, long now) {
-        Entry.Taken taken = owed.entry;
+        JournalEntry.RecordAccepted taken = owed.entry;
         return new Event.RecordAccepted(taken.number(), taken.grade(), taken.tenant(), taken.key(),
                 taken.abandonAt() - now, 0, taken.destination(), owed.clientRetry, false, owed.fromDeadNode);
     }
@@ -322,10 +322,10 @@
                 decisionStage.addEvent(new Event.RecordWithdrawn(taken.entry.number()));
             }
         }
-        if (owed != null && owed.isOpen() && owed.entry.takenAt() == handover.receivedAt()) {
+        if (owed != null && owed.isOpen() && owed.entry.acceptedAt() == handover.receivedAt()) {
             counters.add(Counter.WITHDRAWN);
             log.infoAboutRecord("message " + handover.id() + " is over: its client left before its answer");
-            recordStore.endRecord(owed, Entry.End.WITHDRAWN, 0);
+            recordStore.endRecord(owed, JournalEntry.RecordOutcome.WITHDRAWN, 0);
             decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
         }
     }
@@ -385,9 +385,9 @@
         } else if (action instanceof Action.Recall recall && recordStore.findByNumber(recall.id()) != null) {
             sendStage.recallShot(recordStore.findByNumber(recall.id()), recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce && recordStore.findByNumber(bounce.id()) != null) {
-            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), Entry.End.BOUNCED, bounce.retryAfter());
+            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), JournalEntry.RecordOutcome.BOUNCED, bounce.retryAfter());
         } else if (action instanceof Action.Terminate terminate && recordStore.findByNumber(terminate.id()) != null) {
-            notificationStage.endRecord(recordStore.findByNumber(terminate.id()), Entry.End.TERMINATED, 0);
+            notificationStage.endRecord(recordStore.findByNumber(terminate.id()), JournalEntry.RecordOutcome.TERMINATED, 0);
         } else if (action instanceof Action.StartTimer wake) {
             timers.schedule(now + wake.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(wake.token())));
         } else if (action instanceof Action.Probe probe) {
@@ -395,7 +395,7 @@
         } else if (action instanceof Action.CancelUnsentCalls withhold) {
             sendStage.withhold(withhold.endpoint());
         } else if (action instanceof Action.SetListSubscription) {
-            watch.ask(now);
+            watch.requestList(now);
         } else if (action instanceof Action.CloseIdleConnections drop) {
             sendStage.closeIdleConnections(drop.endpoint());
         } else if (action instanceof Action.Log line) {
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -1,7 +1,7 @@
 package terndyke.node.stage;
 
 import terndyke.node.http.ClientRequest;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 
 /** First stage: makes a record of what a client hands in, with its number and its end by the clock. */
 public final class IntakeStage {
@@ -13,7 +13,7 @@
     }
 
     TrackedRecord createRecord(ClientRequest handover) {
-        return new TrackedRecord(new Entry.Taken(++lastRecordNumber, handover.id(), handover.grade(), handover.tenant(),
+        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, handover.id(), handover.grade(), handover.tenant(),
                 handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
                 handover.receivedAt() + handover.timeoutMicros(), handover.body()), handover.clientRetry(),
                 handover.fromDeadNode(), handover.responder());
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -17,7 +17,7 @@
 import terndyke.node.http.Call;
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.ClientRequest;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 
 /** Fifth stage: answers to clients, and notices to the platform, resent until they are answered. */
 public final class NotificationStage {
@@ -80,14 +80,14 @@
     }
 
     /** Books the end of a record that was taken on, and owes the platform its notice. */
-    void endRecord(TrackedRecord owed, Entry.End end, long wait) {
+    void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
         if (owed.outcome == null) {
             recordStore.endRecord(owed, end, wait);
-            counters.add(end == Entry.End.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
+            counters.add(end == JournalEntry.RecordOutcome.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
             owed.endedAt = decisionLoop.now();
             pendingNotices.add(owed);
-            trace(end == Entry.End.BOUNCED ? "bounced" : "terminated", owed);
-            if (end != Entry.End.BOUNCED || !owed.shots.isEmpty()) {
+            trace(end == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", owed);
+            if (end != JournalEntry.RecordOutcome.BOUNCED || !owed.shots.isEmpty()) {
                 log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
                         + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its time, attempts: " + describeShots(owed));
             }
@@ -101,7 +101,7 @@
 
     private void trace(String verb, TrackedRecord owed) {
         if (log.isTracing()) {
-            Entry.Taken taken = owed.entry;
+            JournalEntry.RecordAccepted taken = owed.entry;
             log.trace(decisionLoop.now(), verb, taken.number(), taken.id(), taken.grade(), taken.destination(),
                     taken.abandonAt() - decisionLoop.now(), owed.shots.size());
         }
@@ -217,8 +217,8 @@
                 line.append(c);
             }
         }
-        line.append("\",\"result\":\"").append(owed.outcome == Entry.End.BOUNCED ? "bounced" : "dead").append('"');
-        if (owed.outcome == Entry.End.BOUNCED && owed.retryAfterMicros > 0) {
+        line.append("\",\"result\":\"").append(owed.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead").append('"');
+        if (owed.outcome == JournalEntry.RecordOutcome.BOUNCED && owed.retryAfterMicros > 0) {
             line.append(",\"wait_ms\":").append(owed.retryAfterMicros / 1000);
         }
         return line.append('}').toString();
--- a/src/main/java/terndyke/node/stage/RecordStore.java
+++ b/src/main/java/terndyke/node/stage/RecordStore.java
@@ -15,7 +15,7 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 
 /** Last stage, and first for what must be on disk before it happens: what the node owes, here and in the journal. */
@@ -44,21 +44,21 @@
     }
 
     /** Fills the book from the entries of the last life; returns the records in the order of their taking. */
-    public Collection<TrackedRecord> restore(List<Entry> entries) {
-        for (Entry entry : entries) {
+    public Collection<TrackedRecord> restore(List<JournalEntry> entries) {
+        for (JournalEntry entry : entries) {
             TrackedRecord owed = recordsByNumber.get(entry.number());
-            if (entry instanceof Entry.Taken taken && owed == null) {
+            if (entry instanceof JournalEntry.RecordAccepted taken && owed == null) {
                 index(new TrackedRecord(taken, false, false, null));
             } else if (owed == null) {
                 log.warn("journal: " + entry.getClass().getSimpleName() + " of a record that it does not hold");
-            } else if (entry instanceof Entry.ShotFired fired) {
-                owed.shots.add(new TrackedRecord.Shot(fired.shot(), -1, fired.endpoint(), fired.zone(), fired.at()));
-            } else if (entry instanceof Entry.ShotOver shotOver) {
+            } else if (entry instanceof JournalEntry.ShotFired fired) {
+                owed.shots.add(new TrackedRecord.Shot(fired.shot(), -1, fired.endpointUid(), fired.zone(), fired.firedAt()));
+            } else if (entry instanceof JournalEntry.ShotEnded shotOver) {
                 owed.shots.stream().filter(shot -> shot.number == shotOver.shot())
                         .forEach(shot -> shot.ending = shotOver.ending());
-            } else if (entry instanceof Entry.Ended ended && owed.outcome == null) {
-                applyEnd(owed, ended.end(), ended.waitTold());
-            } else if (entry instanceof Entry.Told) {
+            } else if (entry instanceof JournalEntry.RecordEnded ended && owed.outcome == null) {
+                applyEnd(owed, ended.outcome(), ended.retryAfter());
+            } else if (entry instanceof JournalEntry.NoticeAnswered) {
                 owed.noticeSettled = true;
             }
         }
@@ -86,10 +86,10 @@
     boolean tryReserve(int body) {
         long then = liveBytes + reservedBytes + body + ENTRY_OVERHEAD_BYTES;
         boolean room = !journalFailing && then < limits.maxJournalBytes() * 2 / 5 && then < limits.maxHeldBytes();
-        if (room && journal.room(then) < limits.journalReserveBytes() && journal.room(liveBytes) >= 0) {
+        if (room && journal.remainingBytes(then) < limits.journalReserveBytes() && journal.remainingBytes(liveBytes) >= 0) {
             compact();
         }
-        room = room && journal.room(then) >= limits.journalReserveBytes();
+        room = room && journal.remainingBytes(then) >= limits.journalReserveBytes();
         if (room) {
             reservedBytes += body + ENTRY_OVERHEAD_BYTES;
             admittedCount++;
@@ -123,26 +123,26 @@
 
     /** Books a shot before its first byte leaves. */
     boolean journalShot(TrackedRecord owed, TrackedRecord.Shot shot) {
-        return appendEntry(new Entry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone, shot.firedAt), 0);
+        return appendEntry(new JournalEntry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone, shot.firedAt), 0);
     }
 
     void endShot(TrackedRecord owed, TrackedRecord.Shot shot, Ending ending) {
         shot.ending = ending;
         shot.connection = null;
-        appendEntry(new Entry.ShotOver(owed.entry.number(), shot.number, ending), 0);
+        appendEntry(new JournalEntry.ShotEnded(owed.entry.number(), shot.number, ending), 0);
     }
 
-    void endRecord(TrackedRecord owed, Entry.End end, long wait) {
+    void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
         if (owed.outcome == null) {
-            appendEntry(new Entry.Ended(owed.entry.number(), end, wait), 0);
+            appendEntry(new JournalEntry.RecordEnded(owed.entry.number(), end, wait), 0);
             applyEnd(owed, end, wait);
         }
     }
 
-    private void applyEnd(TrackedRecord owed, Entry.End end, long wait) {
+    private void applyEnd(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
         owed.outcome = end;
         owed.retryAfterMicros = wait;
-        owed.noticeSettled = end == Entry.End.DONE || end == Entry.End.WITHDRAWN;
+        owed.noticeSettled = end == JournalEntry.RecordOutcome.DONE || end == JournalEntry.RecordOutcome.WITHDRAWN;
         heldCount--;
         liveBytes += ENDED_RECORD_BYTES - owed.entry.body().length - ENTRY_OVERHEAD_BYTES;
         owed.dropBody();
@@ -151,7 +151,7 @@
 
     void settleNotice(TrackedRecord owed) {
         owed.noticeSettled = true;
-        appendEntry(new Entry.Told(owed.entry.number()), 0);
+        appendEntry(new JournalEntry.NoticeAnswered(owed.entry.number()), 0);
     }
 
     /** Forgets what is over, told and past its time, or was over longest where there are too many. */
@@ -171,7 +171,7 @@
 
     /** Compacts where the next entries might not leave room for that any more. */
     void compactIfNeeded() {
-        if (journalFailing || journal.room(liveBytes) < limits.journalReserveBytes()) {
+        if (journalFailing || journal.remainingBytes(liveBytes) < limits.journalReserveBytes()) {
             compact();
         }
     }
@@ -187,33 +187,33 @@
         }
     }
 
-    private List<Entry> liveEntries() {
-        List<Entry> entries = new ArrayList<>();
+    private List<JournalEntry> liveEntries() {
+        List<JournalEntry> entries = new ArrayList<>();
         for (TrackedRecord owed : recordsByNumber.values()) {
-            Entry.Taken taken = owed.entry;
+            JournalEntry.RecordAccepted taken = owed.entry;
             long number = taken.number();
             entries.add(taken);
             for (TrackedRecord.Shot shot : owed.shots) {
                 if (owed.isOpen() || shot.ending == null) {
-                    entries.add(new Entry.ShotFired(number, shot.number, shot.endpointUid, shot.zone, shot.firedAt));
+                    entries.add(new JournalEntry.ShotFired(number, shot.number, shot.endpointUid, shot.zone, shot.firedAt));
                 }
                 if (owed.isOpen() && shot.ending != null) {
-                    entries.add(new Entry.ShotOver(number, shot.number, shot.ending));
+                    entries.add(new JournalEntry.ShotEnded(number, shot.number, shot.ending));
                 }
             }
             if (!owed.isOpen()) {
-                entries.add(new Entry.Ended(number, owed.outcome, owed.retryAfterMicros));
-                if (owed.noticeSettled && owed.outcome != Entry.End.DONE && owed.outcome != Entry.End.WITHDRAWN) {
-                    entries.add(new Entry.Told(number));
+                entries.add(new JournalEntry.RecordEnded(number, owed.outcome, owed.retryAfterMicros));
+                if (owed.noticeSettled && owed.outcome != JournalEntry.RecordOutcome.DONE && owed.outcome != JournalEntry.RecordOutcome.WITHDRAWN) {
+                    entries.add(new JournalEntry.NoticeAnswered(number));
                 }
             }
         }
         return entries;
     }
 
-    private boolean appendEntry(Entry entry, long reserve) {
+    private boolean appendEntry(JournalEntry entry, long reserve) {
         try {
-            if (reserve > 0 && journal.room(0) < reserve + Journal.bytes(entry)) {
+            if (reserve > 0 && journal.remainingBytes(0) < reserve + Journal.encodedSize(entry)) {
                 return false;
             }
             journal.append(entry);
--- a/src/main/java/terndyke/node/stage/SendStage.java
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -10,11 +10,11 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ResponseDefect;
 import terndyke.node.http.Call;
 import terndyke.node.http.ConnectionPool;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 
 /** Fourth stage: shots and probes as calls, and what comes back as events. */
 public final class SendStage {
@@ -23,7 +23,7 @@
 
     private final Limits limits;
     private final Counters counters;
-    private final Catalogue endpointRegistry;
+    private final EndpointRegistry endpointRegistry;
     private final ConnectionPool connectionPool;
     private final DecisionStage decisionStage;
     private final RecordStore recordStore;
@@ -33,7 +33,7 @@
     private final DecisionLoop decisionLoop;
     private int probesInFlight;
 
-    public SendStage(Limits limits, Counters counters, Catalogue catalogue, ConnectionPool calls, DecisionStage route, RecordStore book,
+    public SendStage(Limits limits, Counters counters, EndpointRegistry catalogue, ConnectionPool calls, DecisionStage route, RecordStore book,
             TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
         this.limits = limits;
         this.counters = counters;
@@ -55,7 +55,7 @@
             decisionStage.addEvent(new Event.ShotEnded(shoot.id(), 0, endpoint, Ending.NOT_SENT, 0, 0, false, true, NO_REPORT));
             return;
         }
-        Catalogue.Member member = endpointRegistry.member(endpoint);
+        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         TrackedRecord.Shot shot = new TrackedRecord.Shot(owed.shots.size(), endpoint, member == null ? "" : member.uid(),
                 member == null ? 0 : member.zone(), now);
         owed.shots.add(shot);
@@ -87,8 +87,8 @@
 
     private static Call buildCall(TrackedRecord owed, ConnectionPool.Peer peer, long wait, long startBy) {
         List<String> headers = new ArrayList<>(List.of("Host", peer.hostHeader(), "Request-Id", owed.entry.id()));
-        if (owed.entry.mark() != null) {
-            headers.addAll(List.of("Idempotency-Key", owed.entry.mark()));
+        if (owed.entry.idempotencyKey() != null) {
+            headers.addAll(List.of("Idempotency-Key", owed.entry.idempotencyKey()));
         }
         headers.addAll(List.of("Request-Timeout-Ms", Long.toString(Math.max(1, wait / 1000)),
                 "Content-Length", Integer.toString(owed.entry.body().length)));
@@ -126,7 +126,7 @@
             }
             if (result.status() == 410) {
                 log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " is over: status 410");
-                recordStore.endRecord(over.trackedRecord(), Entry.End.WITHDRAWN, 0);
+                recordStore.endRecord(over.trackedRecord(), JournalEntry.RecordOutcome.WITHDRAWN, 0);
             }
             complete(over.trackedRecord(), over.shot(), over.endpointNumber(), ending, over.completedAt(),
                     ending == Ending.FULL || ending == Ending.RESET ? result.retryAfterMicros() : 0,
@@ -146,7 +146,7 @@
         if (ending == Ending.DONE && !wasOver) {
             shot.ending = ending;
             shot.connection = null;
-            recordStore.endRecord(owed, Entry.End.DONE, 0);
+            recordStore.endRecord(owed, JournalEntry.RecordOutcome.DONE, 0);
             counters.add(Counter.ENDED_DONE);
         } else {
             recordStore.endShot(owed, shot, ending);
@@ -206,7 +206,7 @@
 
     /** Checks an endpoint by a call of its own. */
     void startProbe(long endpoint, long now) {
-        Catalogue.Member member = endpointRegistry.member(endpoint);
+        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         if (member == null) {
             return;
         }
@@ -245,12 +245,12 @@
 
     /** A probe that is out. */
     static final class PendingProbe {
-        private final Catalogue.Member member;
+        private final EndpointRegistry.Endpoint member;
         private final long startedAt;
         private ConnectionPool.PooledConnection connection;
         private boolean completed;
 
-        private PendingProbe(Catalogue.Member member, long firedAt) {
+        private PendingProbe(EndpointRegistry.Endpoint member, long firedAt) {
             this.member = member;
             this.startedAt = firedAt;
         }
@@ -260,7 +260,7 @@
     void restore(TrackedRecord owed, long now) {
         List<Event.EarlierShot> earlier = new ArrayList<>();
         for (TrackedRecord.Shot shot : owed.shots) {
-            Catalogue.Member member = endpointRegistry.member(shot.endpointUid);
+            EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(shot.endpointUid);
             earlier.add(new Event.EarlierShot(member == null ? -1 : member.number(), shot.zone,
                     Math.max(0, now - shot.firedAt), shot.ending));
         }
@@ -272,7 +272,7 @@
 
     /** Holds back the calls to an endpoint that still wait for their connection. */
     void withhold(long endpoint) {
-        Catalogue.Member member = endpointRegistry.member(endpoint);
+        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         if (member != null) {
             connectionPool.withhold(member.peer());
         }
@@ -280,7 +280,7 @@
 
     /** Closes the idle connections to an endpoint. */
     void closeIdleConnections(long endpoint) {
-        Catalogue.Member member = endpointRegistry.member(endpoint);
+        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         if (member != null) {
             connectionPool.closeIdle(member.peer());
         }
--- a/src/main/java/terndyke/node/stage/TrackedRecord.java
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -8,16 +8,16 @@
 import terndyke.api.Ending;
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.ClientRequest;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 
 /** A record that the node has taken on, from the taking until nothing needs it any more. */
 public final class TrackedRecord {
-    Entry.Taken entry; // without its body once the record has its end
+    JournalEntry.RecordAccepted entry; // without its body once the record has its end
     final boolean clientRetry;
     final boolean fromDeadNode;
     final List<Shot> shots = new ArrayList<>(2);
     ClientRequest.Responder responder; // until the client has its answer
-    Entry.End outcome;
+    JournalEntry.RecordOutcome outcome;
     long retryAfterMicros;
     long endedAt; // since when its notice is owed in this life
     boolean noticeSettled; // nothing is owed any more
@@ -41,7 +41,7 @@
         }
     }
 
-    TrackedRecord(Entry.Taken taken, boolean again, boolean fromDeadNode, ClientRequest.Responder answer) {
+    TrackedRecord(JournalEntry.RecordAccepted taken, boolean again, boolean fromDeadNode, ClientRequest.Responder answer) {
         this.entry = taken;
         this.clientRetry = again;
         this.fromDeadNode = fromDeadNode;
@@ -52,12 +52,12 @@
     boolean isSameRecord(ClientRequest handover) {
         return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
                 && entry.destination() == handover.destination() && (!isOpen()
-                || Objects.equals(entry.mark(), handover.idempotencyKey()) && Arrays.equals(entry.body(), handover.body()));
+                || Objects.equals(entry.idempotencyKey(), handover.idempotencyKey()) && Arrays.equals(entry.body(), handover.body()));
     }
 
     void dropBody() {
-        entry = new Entry.Taken(entry.number(), entry.id(), entry.grade(), entry.tenant(), entry.key(),
-                entry.destination(), null, entry.takenAt(), entry.abandonAt(), new byte[0]);
+        entry = new JournalEntry.RecordAccepted(entry.number(), entry.id(), entry.grade(), entry.tenant(), entry.key(),
+                entry.destination(), null, entry.acceptedAt(), entry.abandonAt(), new byte[0]);
     }
 
     /** True while the journal must hold the record's body: it may have to be shot again. */
--- a/src/test/java/terndyke/node/DeliveryNodeTest.java
+++ b/src/test/java/terndyke/node/DeliveryNodeTest.java
@@ -52,10 +52,10 @@
 import com.sun.net.httpserver.HttpServer;
 
 import terndyke.node.Counters.Counter;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 import terndyke.node.stage.RecordStore;
 import terndyke.node.stage.DecisionLoop;
@@ -589,8 +589,8 @@
     /** A desk with its list, without its thread. */
     private DecisionLoop createDecisionLoop(Reactor reactor, Counters counters, String text) throws IOException {
         NodeConfiguration charter = configuration(text);
-        Catalogue catalogue = new Catalogue(charter.zoneNames(), charter.endpointKinds());
-        catalogue.take(charter.knownEndpoints(), 0, new ArrayList<>());
+        EndpointRegistry catalogue = new EndpointRegistry(charter.zoneNames(), charter.endpointKinds());
+        catalogue.update(charter.knownEndpoints(), 0, new ArrayList<>());
         RecordStore book = new RecordStore(Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>()),
                 charter.limits(), counters, NO_LOG);
         return new DecisionLoop(charter, reactor, catalogue, book, new NodeClock(), counters, NO_LOG);
@@ -751,7 +751,7 @@
         long now = new NodeClock().now();
         try (Journal journal = Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>())) {
             for (int i = 1; i <= owed; i++) {
-                journal.append(new Entry.Taken(i, "r-" + i, 0, 0, 0, 3, null, now - 4_000_000, now - 1, new byte[0]));
+                journal.append(new JournalEntry.RecordAccepted(i, "r-" + i, 0, 0, 0, 3, null, now - 4_000_000, now - 1, new byte[0]));
             }
         }
         discoverySilent = true; // so that the start stands and waits when the module's first turn begins
--- /dev/null
+++ b/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
@@ -0,0 +1,111 @@
+package terndyke.node.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+import org.junit.jupiter.api.Test;
+
+import terndyke.api.Event;
+import terndyke.api.ListedEndpoint;
+import terndyke.api.ListedEndpoint.EndpointState;
+import terndyke.node.http.ConnectionPool;
+
+class EndpointRegistryTest {
+    private static final long NOW_MICROS = 1_000_000;
+
+    private final EndpointRegistry endpointRegistry = new EndpointRegistry(List.of("east", "west"), List.of("a", "b"));
+    private final List<String> unreadableEntries = new ArrayList<>();
+
+    private Event.ListReceived update(int rev, boolean all, String... targets) throws IOException {
+        String json = "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
+        return endpointRegistry.update(json.getBytes(StandardCharsets.UTF_8), NOW_MICROS, unreadableEntries);
+    }
+
+    private static String targetJson(String uid, String endpoint, String state) {
+        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + endpoint + "\",\"az\":\"west\",\"model\":\"b\",\"pod_group\":3,"
+                + "\"state\":\"" + state + "\",\"capacity_hint\":7.5,\"boot_ms\":12}";
+    }
+
+    @Test
+    void anEntryIsReadWhole() throws IOException {
+        Event.ListReceived told = update(41, true, targetJson("s-1", "127.0.0.9:8443", "active"));
+        assertTrue(told.complete());
+        assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, EndpointState.READY, 12_000, 3)), told.entries());
+        assertEquals(41, endpointRegistry.version());
+        assertTrue(endpointRegistry.hasDestination(3));
+        assertFalse(endpointRegistry.hasDestination(4));
+    }
+
+    @Test
+    void anEndpointKeepsItsNumberAndTakesItsNewAddress() throws IOException {
+        update(1, true, targetJson("s-1", "127.0.0.9:1", "active"), targetJson("s-2", "127.0.0.9:2", "active"));
+        Event.ListReceived told = update(2, false, targetJson("s-2", "127.0.0.9:3", "leaving"));
+        assertFalse(told.complete());
+        assertEquals(1, told.entries().get(0).endpoint());
+        assertEquals(EndpointState.DRAINING, told.entries().get(0).state());
+        assertEquals(3, endpointRegistry.findEndpoint("s-2").peer().address().getPort());
+    }
+
+    @Test
+    void endpointThatChangesDestinationIsGoneAndListedAsNewEndpoint() throws IOException {
+        update(1, true, targetJson("s-1", "127.0.0.9:1", "active"));
+        Event.ListReceived told = update(2, false, targetJson("s-1", "127.0.0.9:1", "active").replace(":3,", ":5,"));
+        assertEquals(List.of(EndpointState.GONE, EndpointState.READY), told.entries().stream().map(e -> e.state()).toList());
+        assertEquals(List.of(3, 5), told.entries().stream().map(e -> e.destination()).toList());
+        assertEquals(3, endpointRegistry.findEndpoint(0).destination());
+        assertEquals(1, endpointRegistry.pollRemovedPeers().size());
+    }
+
+    @Test
+    void endpointAtAReusedAddressIsADifferentPeer() throws IOException {
+        update(1, true, targetJson("s-1", "127.0.0.9:1", "active"));
+        ConnectionPool.Peer first = endpointRegistry.findEndpoint("s-1").peer();
+        update(2, true, targetJson("s-2", "127.0.0.9:1", "active"));
+        assertEquals(List.of(first), endpointRegistry.pollRemovedPeers());
+        assertNotSame(first, endpointRegistry.findEndpoint("s-2").peer());
+        update(3, false, targetJson("s-1", "127.0.0.9:1", "active"));
+        assertNotSame(first, endpointRegistry.findEndpoint("s-1").peer(), "back again, but not the same process");
+        assertEquals(0, endpointRegistry.findEndpoint("s-1").number(), "its waits still bind");
+    }
+
+    @Test
+    void goneEndpointsAreEvictedByAgeAndLongestGoneFirstAboveTheLimit() throws IOException {
+        for (int i = 0; i < 50; i++) {
+            update(i, true, targetJson("s-" + i, "127.0.0.9:" + (i + 1), "active"));
+        }
+        endpointRegistry.evictGone(NOW_MICROS, 20);
+        assertNull(endpointRegistry.findEndpoint("s-28"));
+        assertNull(endpointRegistry.findEndpoint(28));
+        assertEquals(29, endpointRegistry.findEndpoint("s-29").number());
+        endpointRegistry.evictGone(NOW_MICROS + 1, 20);
+        assertNull(endpointRegistry.findEndpoint("s-48"));
+        assertEquals(49, endpointRegistry.findEndpoint(49).number(), "it is listed");
+        assertTrue(endpointRegistry.hasDestination(3));
+    }
+
+    @Test
+    void anEntryThatCannotBeReadIsPassedOver() throws IOException {
+        Event.ListReceived told = update(1, true, targetJson("s-1", "some.host:1", "active"),
+                targetJson("s-2", "127.0.0.9:2", "asleep"), "{}", targetJson("s-3", "127.0.0.9:3", "active"));
+        assertEquals(1, told.entries().size());
+        assertEquals(3, unreadableEntries.size());
+    }
+
+    @Test
+    void responseThatIsNoListThrowsIOExceptionAndKeepsTheVersion() {
+        for (String json : List.of("", "{", "[]", "{\"all\":true}", "{\"rev\":\"x\"}")) {
+            assertThrows(IOException.class,
+                    () -> endpointRegistry.update(json.getBytes(StandardCharsets.UTF_8), NOW_MICROS, unreadableEntries), json);
+        }
+        assertEquals(0, endpointRegistry.version());
+    }
+}
--- a/src/test/java/terndyke/node/discovery/WatchTest.java
+++ b/src/test/java/terndyke/node/discovery/WatchTest.java
@@ -31,18 +31,18 @@
 
 /** The watch against a discovery that does, call by call, what the test says; the clock is the test's. */
 class WatchTest {
-    private static final long TOLD_AFTER = 6_000_000; // what a silent watch misses counts as told so long after
-    private static final long ROOM = 2_000_000; // for a node that is short of CPU, and one more call that is lost
-    private static final String LIST = "{\"rev\":7,\"all\":true,\"targets\":[]}";
+    private static final long CHANGE_DEADLINE_MICROS = 6_000_000; // what a silent watch misses counts as told so long after
+    private static final long SAFETY_MARGIN_MICROS = 2_000_000; // for a node that is short of CPU, and one more call that is lost
+    private static final String EMPTY_LIST_JSON = "{\"rev\":7,\"all\":true,\"targets\":[]}";
 
-    private record Answered(long round, Call.Result result) { }
+    private record NumberedResult(long callNumber, Call.Result result) { }
 
     private final Limits limits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 1_000_000);
-    private final BlockingQueue<Answered> answers = new LinkedBlockingQueue<>();
-    private final BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
+    private final BlockingQueue<NumberedResult> results = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ConnectionPool.PooledConnection> freedConnections = new LinkedBlockingQueue<>();
     private ServerSocket discovery;
     private Reactor reactor;
-    private ConnectionPool calls;
+    private ConnectionPool connectionPool;
     private Watch watch;
     private Socket connection;
     private long now = 1_000_000;
@@ -54,14 +54,14 @@
         Counters counters = new Counters();
         reactor = new Reactor(limits, counters, NodeFixtures.NO_LOG);
         reactor.start();
-        calls = new ConnectionPool(reactor, limits, counters, () -> now, free::add);
-        watch(false);
+        connectionPool = new ConnectionPool(reactor, limits, counters, () -> now, freedConnections::add);
+        createWatch(false);
     }
 
-    private void watch(boolean onRequest) {
+    private void createWatch(boolean onRequest) {
         watch = new Watch(limits, new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()),
-                new Catalogue(List.of("east"), List.of("a")), calls, NodeFixtures.NO_LOG, onRequest,
-                new Random(1), (round, result) -> answers.add(new Answered(round, result)));
+                new EndpointRegistry(List.of("east"), List.of("a")), connectionPool, NodeFixtures.NO_LOG, onRequest,
+                new Random(1), (round, result) -> results.add(new NumberedResult(round, result)));
     }
 
     @AfterEach
@@ -70,7 +70,7 @@
         reactor.close();
     }
 
-    private String asked() throws IOException {
+    private String awaitRequestPath() throws IOException {
         if (connection == null) {
             connection = discovery.accept();
         }
@@ -91,144 +91,144 @@
     private boolean answer(String status, String body) throws Exception {
         connection.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
-        Answered answered = answers.poll(30, TimeUnit.SECONDS);
-        calls.release(free.poll(30, TimeUnit.SECONDS), now);
-        return watch.answered(answered.round, answered.result, now) != null;
+        NumberedResult answered = results.poll(30, TimeUnit.SECONDS);
+        connectionPool.release(freedConnections.poll(30, TimeUnit.SECONDS), now);
+        return watch.handleResult(answered.callNumber, answered.result, now) != null;
     }
 
     /** The call that is out is never answered: the next one comes on a connection of its own. */
-    private void lost() throws Exception {
+    private void timeOutCall() throws Exception {
         long broken = watch.dueAt();
         now = broken - 1;
-        watch.keep(now);
+        watch.runDueActions(now);
         assertEquals(broken, watch.dueAt(), "it still waits");
         now = broken;
-        watch.keep(now);
-        Answered stale = answers.poll(30, TimeUnit.SECONDS);
-        assertNull(watch.answered(stale.round, stale.result, now), "its end is no second break");
-        calls.release(free.poll(30, TimeUnit.SECONDS), now);
+        watch.runDueActions(now);
+        NumberedResult stale = results.poll(30, TimeUnit.SECONDS);
+        assertNull(watch.handleResult(stale.callNumber, stale.result, now), "its end is no second break");
+        connectionPool.release(freedConnections.poll(30, TimeUnit.SECONDS), now);
         connection.close();
         connection = null;
     }
 
     @Test
-    void aWatchThatFallsSilentIsOpenedAnewLongBeforeItsNewsCountsAsTold() throws Exception {
-        watch.keep(now);
-        assertEquals("/catalog/members", asked(), "at first the whole list, at once");
-        assertTrue(answer(LIST));
-        watch.keep(now);
-        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked());
+    void silentWatchIsReopenedWellBeforeChangeDeadlineThoughNextCallIsLostToo() throws Exception {
+        watch.runDueActions(now);
+        assertEquals("/catalog/members", awaitRequestPath(), "at first the whole list, at once");
+        assertTrue(answer(EMPTY_LIST_JSON));
+        watch.runDueActions(now);
+        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath());
         long silentSince = now; // at worst it falls silent as soon as it is open
-        lost();
-        assertEquals("/catalog/members", asked());
-        lost();
-        assertEquals("/catalog/members", asked(), "the call after the break is lost as well");
+        timeOutCall();
+        assertEquals("/catalog/members", awaitRequestPath());
+        timeOutCall();
+        assertEquals("/catalog/members", awaitRequestPath(), "the call after the break is lost as well");
         assertTrue(answer("{\n  \"rev\": 8,\n  \"all\": true,\n  \"targets\": [\n  ]\n}"));
-        assertTrue(now - silentSince <= TOLD_AFTER - ROOM, "asked after " + (now - silentSince));
+        assertTrue(now - silentSince <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS, "asked after " + (now - silentSince));
     }
 
     @Test
     void discoveryThatIsDownAtTheStartIsAskedAgainWithinASecond() throws Exception {
-        watch.keep(now);
-        asked();
+        watch.runDueActions(now);
+        awaitRequestPath();
         long began = now;
-        lost();
+        timeOutCall();
         assertTrue(now - began <= 1_000_000);
-        assertEquals("/catalog/members", asked());
+        assertEquals("/catalog/members", awaitRequestPath());
     }
 
     /** A discovery at its limit is kept there by nodes that give up and ask again: they ask less and less, and yet in time. */
     @Test
     void aDiscoveryThatGivesNoAnswerIsAskedAgainMoreAndMoreSeldom() throws Exception {
-        watch.keep(now);
-        asked();
+        watch.runDueActions(now);
+        awaitRequestPath();
         long began = now;
         int calls = 1;
         for (long last = now; now - began < 12_000_000; calls++) {
-            lost();
-            asked();
-            assertTrue(now - last <= TOLD_AFTER - ROOM, "no call for " + (now - last));
+            timeOutCall();
+            awaitRequestPath();
+            assertTrue(now - last <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS, "no call for " + (now - last));
             last = now;
         }
         assertTrue(calls <= 8, calls + " calls in 12 s");
-        assertTrue(answer(LIST));
+        assertTrue(answer(EMPTY_LIST_JSON));
         assertEquals(now, watch.dueAt(), "and follows it at once");
     }
 
     @Test
-    void aDiscoveryThatRefusesIsAskedAgainAfterGrowingRests() throws Exception {
-        watch.keep(now);
-        asked();
-        assertTrue(answer(LIST));
-        watch.keep(now);
-        asked();
+    void refusingDiscoveryIsRetriedFromKnownVersionWithGrowingDelays() throws Exception {
+        watch.runDueActions(now);
+        awaitRequestPath();
+        assertTrue(answer(EMPTY_LIST_JSON));
+        watch.runDueActions(now);
+        awaitRequestPath();
         long began = now;
         int calls = 1;
         for (; now - began < 8_000_000; calls++) {
             assertTrue(!answer("503 Full", ""));
-            assertTrue(watch.dueAt() - now <= TOLD_AFTER - 2 * ROOM, "rests for " + (watch.dueAt() - now));
+            assertTrue(watch.dueAt() - now <= CHANGE_DEADLINE_MICROS - 2 * SAFETY_MARGIN_MICROS, "rests for " + (watch.dueAt() - now));
             if (watch.dueAt() - now >= limits.idleConnectionTimeoutMicros()) { // the next call comes on a connection of its own
                 connection.close();
                 connection = null;
             }
             now = watch.dueAt();
-            watch.keep(now);
-            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked(), "it goes on from there");
+            watch.runDueActions(now);
+            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath(), "it goes on from there");
         }
         assertTrue(calls <= 14, calls + " calls in 8 s");
     }
 
     @Test
     void anAnswerThatHasComeIsTakenInBeforeItsCallIsGivenUp() throws Exception {
-        watch.keep(now);
-        asked();
+        watch.runDueActions(now);
+        awaitRequestPath();
         now = watch.dueAt() + 1_000_000; // the node was held up, and the answer lies in its inbox
-        assertTrue(answer(LIST));
-        watch.keep(now);
-        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, asked());
+        assertTrue(answer(EMPTY_LIST_JSON));
+        watch.runDueActions(now);
+        assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath());
     }
 
     @Test
     void aListThatCannotBeReadWholeIsAskedForAgain() throws Exception {
-        watch.keep(now);
-        asked();
+        watch.runDueActions(now);
+        awaitRequestPath();
         assertTrue(answer("{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:1\","
                 + "\"az\":\"east\",\"model\":\"a\",\"pod_group\":1,\"state\":\"lea\"}]}"));
         now = watch.dueAt();
-        watch.keep(now);
-        assertEquals("/catalog/members", asked(), "what could not be read is in no later change");
+        watch.runDueActions(now);
+        assertEquals("/catalog/members", awaitRequestPath(), "what could not be read is in no later change");
         assertTrue(!answer("{\"rev\":8,\"all\":true,\"targ"));
         now = watch.dueAt();
-        watch.keep(now);
-        assertEquals("/catalog/members", asked());
+        watch.runDueActions(now);
+        assertEquals("/catalog/members", awaitRequestPath());
     }
 
     @Test
-    void whereTheListComesOnRequestABreakIsToldAndNothingIsAskedUnbidden() throws Exception {
-        watch(true);
-        watch.keep(now);
+    void listOnRequestReportsFailedCallAndStartsNoneWithoutRequest() throws Exception {
+        createWatch(true);
+        watch.runDueActions(now);
         assertEquals(Long.MAX_VALUE, watch.dueAt());
-        watch.ask(now);
-        watch.keep(now);
-        asked();
-        lost();
-        assertTrue(watch.failed());
+        watch.requestList(now);
+        watch.runDueActions(now);
+        awaitRequestPath();
+        timeOutCall();
+        assertTrue(watch.pollFailure());
         assertEquals(Long.MAX_VALUE, watch.dueAt());
-        watch.ask(now);
-        watch.keep(now);
-        assertNotNull(asked());
+        watch.requestList(now);
+        watch.runDueActions(now);
+        assertNotNull(awaitRequestPath());
     }
 
     /** The module's rest of 3.6 s at most comes on top. */
     @Test
-    void whereTheListComesOnRequestNoCallIsGivenMoreThanASecond() throws Exception {
-        watch(true);
+    void listOnRequestTimesOutEachCallWithinASecond() throws Exception {
+        createWatch(true);
         for (int i = 0; i < 5; i++) {
-            watch.ask(now);
-            watch.keep(now);
-            asked();
+            watch.requestList(now);
+            watch.runDueActions(now);
+            awaitRequestPath();
             long began = now;
-            lost();
+            timeOutCall();
             assertTrue(now - began <= 1_000_000, "given " + (now - began));
         }
     }
--- a/src/test/java/terndyke/node/stage/DecisionLoopTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -22,7 +22,7 @@
 import terndyke.node.Counters;
 import terndyke.node.NodeFixtures;
 import terndyke.node.NodeClock;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ClientRequest;
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.Journal;
@@ -61,7 +61,7 @@
             reactor.start();
             RecordStore book = new RecordStore(Journal.open(folder, charter.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
                     charter.limits(), counters, NodeFixtures.NO_LOG);
-            DecisionLoop desk = new DecisionLoop(charter, reactor, new Catalogue(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(),
+            DecisionLoop desk = new DecisionLoop(charter, reactor, new EndpointRegistry(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(),
                     counters, NodeFixtures.NO_LOG, inbox);
             Thread thread = new Thread(desk);
             thread.start();
--- a/src/test/java/terndyke/node/stage/StageTest.java
+++ b/src/test/java/terndyke/node/stage/StageTest.java
@@ -21,10 +21,10 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
-import terndyke.node.discovery.Catalogue;
+import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.Call;
 import terndyke.node.http.ClientRequest;
-import terndyke.node.journal.Entry;
+import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 
 class StageTest {
@@ -36,7 +36,7 @@
 
     private final Limits limits = Limits.fromResources(192, 1024, 0.2, 8, 3, 1_000_000, 15_000_000);
     private final Counters counters = new Counters();
-    private final Catalogue catalogue = new Catalogue(List.of("east"), List.of("a"));
+    private final EndpointRegistry catalogue = new EndpointRegistry(List.of("east"), List.of("a"));
     private final List<String> answers = new ArrayList<>();
     private final IntakeStage intakeStage = new IntakeStage(40);
     private Journal journal;
@@ -48,7 +48,7 @@
         journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, new ArrayList<>());
         recordStore = new RecordStore(journal, limits, counters, NO_LOG);
         admissionStage = new AdmissionStage(limits, counters, catalogue, recordStore);
-        catalogue.take(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"east\","
+        catalogue.update(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"east\","
                 + "\"model\":\"a\",\"pod_group\":3,\"state\":\"active\"}]}").getBytes(StandardCharsets.UTF_8),
                 NOW_MICROS, new ArrayList<>());
     }
@@ -86,7 +86,7 @@
 
     private RecordStore reopenStore() throws IOException {
         journal.close();
-        List<Entry> entries = new ArrayList<>();
+        List<JournalEntry> entries = new ArrayList<>();
         journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, entries);
         RecordStore again = new RecordStore(journal, limits, counters, NO_LOG);
         again.restore(entries);
@@ -111,7 +111,7 @@
         assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
         assertFalse(admissionStage.admit(handover("r", 3, 0, NOW_MICROS), NOW_MICROS));
         TrackedRecord over = addRecord("s");
-        recordStore.endRecord(over, Entry.End.DONE, 0);
+        recordStore.endRecord(over, JournalEntry.RecordOutcome.DONE, 0);
         ClientRequest told = handover("s", 3, 10, NOW_MICROS);
         assertFalse(admissionStage.admit(told, NOW_MICROS));
         assertFalse(admissionStage.admit(new ClientRequest("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW_MICROS,
@@ -166,11 +166,11 @@
     void aDuplicateGetsTheAnswerOfTheOriginal() {
         TrackedRecord owed = addRecord("r");
         assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
-        recordStore.endRecord(owed, Entry.End.DONE, 0);
+        recordStore.endRecord(owed, JournalEntry.RecordOutcome.DONE, 0);
         admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS);
-        recordStore.endRecord(addRecord("b"), Entry.End.BOUNCED, 700);
+        recordStore.endRecord(addRecord("b"), JournalEntry.RecordOutcome.BOUNCED, 700);
         admissionStage.admit(handover("b", 3, 10, NOW_MICROS), NOW_MICROS);
-        recordStore.endRecord(addRecord("t"), Entry.End.TERMINATED, 0);
+        recordStore.endRecord(addRecord("t"), JournalEntry.RecordOutcome.TERMINATED, 0);
         admissionStage.admit(handover("t", 3, 10, NOW_MICROS), NOW_MICROS);
         assertEquals(List.of("taken", "delivered", "refused 700", "failed 500"), answers);
     }
@@ -182,12 +182,12 @@
         open.shots.add(out);
         recordStore.journalShot(open, out);
         TrackedRecord over = addRecord("over");
-        recordStore.endRecord(over, Entry.End.BOUNCED, 500);
+        recordStore.endRecord(over, JournalEntry.RecordOutcome.BOUNCED, 500);
         RecordStore again = reopenStore();
         assertEquals(42, again.lastRecordNumber());
         assertNull(again.findById("open").shots.get(0).ending);
         assertEquals(10, again.findById("open").entry.body().length);
-        assertEquals(Entry.End.BOUNCED, again.findById("over").outcome);
+        assertEquals(JournalEntry.RecordOutcome.BOUNCED, again.findById("over").outcome);
         assertFalse(again.findById("over").noticeSettled);
         assertEquals(1, again.heldOrAdmittedCount());
     }
@@ -200,7 +200,7 @@
             TrackedRecord.Shot shot = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
             passing.shots.add(shot);
             assertTrue(recordStore.journalShot(passing, shot), "there is always room for a shot");
-            recordStore.endRecord(passing, Entry.End.DONE, 0);
+            recordStore.endRecord(passing, JournalEntry.RecordOutcome.DONE, 0);
             recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
             recordStore.compactIfNeeded();
         }
@@ -217,7 +217,7 @@
             TrackedRecord passing = intakeStage.createRecord(handover("passing" + i, 3, 4_000, NOW_MICROS));
             assertTrue(recordStore.tryAdd(passing));
             recordStore.clearReservations();
-            recordStore.endRecord(passing, Entry.End.DONE, 0);
+            recordStore.endRecord(passing, JournalEntry.RecordOutcome.DONE, 0);
             recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
         }
         assertEquals(200, admitted);
@@ -226,7 +226,7 @@
     @Test
     void anEndedRecordIsKeptUntilItsNoticeIsAnswered() {
         TrackedRecord owed = addRecord("r");
-        recordStore.endRecord(owed, Entry.End.TERMINATED, 0);
+        recordStore.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
         recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
         assertEquals(owed, recordStore.findById("r"));
         recordStore.settleNotice(owed);
@@ -271,7 +271,7 @@
     @Test
     void aNoticeIsOneLineOfJson() {
         TrackedRecord owed = addRecord("a\"b\\c\u0007");
-        recordStore.endRecord(owed, Entry.End.BOUNCED, 500_000);
+        recordStore.endRecord(owed, JournalEntry.RecordOutcome.BOUNCED, 500_000);
         assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}", NotificationStage.formatNotice(owed));
     }
 
@@ -280,7 +280,7 @@
         List<TrackedRecord> owing = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             TrackedRecord owed = intakeStage.createRecord(handover(String.format("%016x", i), 3, 1, NOW_MICROS));
-            owed.outcome = Entry.End.BOUNCED;
+            owed.outcome = JournalEntry.RecordOutcome.BOUNCED;
             owing.add(owed);
         }
         StringBuilder lines = new StringBuilder();
