--- a/src/main/java/terndyke/lab/Lab.java
+++ b/src/main/java/terndyke/lab/Lab.java
@@ -28,10 +28,10 @@
 import terndyke.lab.traced.Story;
 import terndyke.lab.traced.Traced;
 import terndyke.lab.load.Arrival;
-import terndyke.lab.load.LoadTool;
-import terndyke.lab.load.Proof;
-import terndyke.lab.load.Schedule;
-import terndyke.lab.load.Trace;
+import terndyke.lab.load.LoadGenerator;
+import terndyke.lab.load.LoadGeneratorCheck;
+import terndyke.lab.load.ScheduleGenerator;
+import terndyke.lab.load.TraceFile;
 import terndyke.lab.plan.BadInput;
 import terndyke.lab.plan.Drawer;
 import terndyke.lab.plan.Experiment;
@@ -47,8 +47,8 @@
 import terndyke.lab.run.NodeFile;
 import terndyke.lab.run.Outcome;
 import terndyke.lab.standin.StandInNode;
-import terndyke.lab.wire.Net;
-import terndyke.lab.wire.Ticker;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
 
 /** The laboratory's command line. Exit status: 0 rules kept, 1 a rule broken, 2 bad input, 3 void. */
 public final class Lab {
@@ -305,7 +305,7 @@
         } else if (command instanceof Fleet fleet) {
             return fleet(fleet);
         } else if (command instanceof Prove) {
-            return new Proof(out).run() ? KEPT : 1;
+            return new LoadGeneratorCheck(out).run() ? KEPT : 1;
         } else if (command instanceof Listing listing) {
             return list(listing);
         } else if (command instanceof SchemaOf) {
@@ -336,7 +336,7 @@
         Experiment day = run.read();
         day = run.seed == null ? day : day.withSeed(run.seed);
         if (run.record != null) {
-            Trace.write(Path.of(run.record), Schedule.of(day));
+            TraceFile.write(Path.of(run.record), ScheduleGenerator.generate(day));
         }
         return play(run, day, run.folder(day.name()), out).status;
     }
@@ -366,15 +366,15 @@
         } catch (BadInput e) {
             throw new BadInput(e.faults().stream().map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
         }
-        List<Arrival> arrivals = load.trace == null ? Schedule.of(day) : Trace.read(Path.of(load.trace), day);
-        try (Net net = new Net("terndyke-lab-load", 1)) {
-            LoadTool tool = new LoadTool(net, to, load.connections);
-            tool.open(load.connections);
-            LoadTool.Run run = tool.run(arrivals, 5_000_000);
+        List<Arrival> arrivals = load.trace == null ? ScheduleGenerator.generate(day) : TraceFile.read(Path.of(load.trace), day);
+        try (SocketReactor net = new SocketReactor("terndyke-lab-load", 1)) {
+            LoadGenerator tool = new LoadGenerator(net, to, load.connections);
+            tool.openConnections(load.connections);
+            LoadGenerator.Result run = tool.run(arrivals, 5_000_000);
             out.printf("%d requests in %.1f s: %d answered, %d of them taken, %d broken, %d without an answer%n", run.offered(),
-                    run.seconds(), run.answered(), run.taken(), run.broken(), run.unanswered());
-            say("from due", run.fromDue());
-            say("from sent", run.fromSent());
+                    run.seconds(), run.answered(), run.accepted(), run.broken(), run.unanswered());
+            say("from due", run.latencyFromDue());
+            say("from sent", run.latencyFromSent());
             say("the tool's lateness", run.lateness());
             if (run.lateness().getValueAtPercentile(99) > day.late().micros()) {
                 out.printf("void: the tool itself was late, %s allowed%n", day.late());
@@ -395,9 +395,9 @@
         emulating = true;
         Path folder = emulate.folder(day.name() + "-emulated");
         Logbook logbook = new Logbook();
-        logbook.startAt(Ticker.now());
-        try (Ticker answers = new Ticker("terndyke-lab-answers"); Ticker failures = new Ticker("terndyke-lab-failures");
-                Net net = new Net("terndyke-lab-receivers", 4);
+        logbook.startAt(TaskScheduler.nowMicros());
+        try (TaskScheduler answers = new TaskScheduler("terndyke-lab-answers"); TaskScheduler failures = new TaskScheduler("terndyke-lab-failures");
+                SocketReactor net = new SocketReactor("terndyke-lab-receivers", 4);
                 Emulator emulator = new Emulator(day, logbook, net, answers, true)) {
             Files.createDirectories(folder);
             for (int node = 0; node < day.nodes().count(); node++) {
@@ -405,12 +405,12 @@
                 Files.writeString(file, NodeFile.of(day, node, emulator.agents().get(node)));
                 out.println("node " + node + ": serve --config " + file);
             }
-            out.println(emulator.receivers() + " receivers serve; failures count from now, an interrupt ends it");
+            out.println(emulator.receiverCount() + " receivers serve; failures count from now, an interrupt ends it");
             day.failures().forEach(failure -> {
                 if (failure.kind().side() == Failure.Side.RECEIVER
                         || failure.kind().side() == Failure.Side.DISCOVERY) {
-                    failures.at(logbook.start() + failure.at().micros(), () -> emulator.begin(failure));
-                    failures.at(logbook.start() + failure.until(), () -> emulator.end(failure));
+                    failures.schedule(logbook.start() + failure.at().micros(), () -> emulator.beginFailure(failure));
+                    failures.schedule(logbook.start() + failure.until(), () -> emulator.endFailure(failure));
                 }
             });
             while (!interrupted) {
--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -11,11 +11,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-import terndyke.lab.model.Answer;
+import terndyke.lab.model.Response;
 import terndyke.lab.model.Receiver;
 import terndyke.lab.model.Shot;
-import terndyke.lab.model.Site;
-import terndyke.lab.model.Told;
+import terndyke.lab.model.EmulatedDestination;
+import terndyke.lab.model.ReceiverListener;
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.Experiment.Destinations;
 import terndyke.lab.plan.Experiment.Effect;
@@ -25,106 +25,106 @@
 import terndyke.lab.referee.Logbook;
 import terndyke.lab.referee.Sight;
 import terndyke.lab.referee.Sight.What;
-import terndyke.lab.wire.Net;
-import terndyke.lab.wire.Ticker;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
 
 /** The receiving side on sockets: receivers, discovery, an agent and a sink of notices beside each node. */
 public final class Emulator implements AutoCloseable {
-    private static final long GRACE = 2_500_000; // a receiver that leaves serves on for so long, then turns away
-    private static final long GONE_AFTER = 4_000_000;
-
-    private final Experiment day;
-    private final Logbook logbook;
-    private final Net net;
-    private final Ticker ticker;
-    private final List<Site> sites = new ArrayList<>();
-    private final List<Host> hosts = new ArrayList<>();
-    private final List<Agent> agents = new ArrayList<>();
-    private final Map<Receiver, Host> byReceiver = new ConcurrentHashMap<>();
-    private final Roster roster = new Roster();
-    private final UniformRandomProvider chance;
-    private int uids;
-
-    private final Told told = new Told() {
+    private static final long DRAIN_GRACE_MICROS = 2_500_000; // a receiver that leaves serves on for so long, then turns away
+    private static final long DRAIN_REMOVAL_DELAY_MICROS = 4_000_000;
+
+    private final Experiment experiment;
+    private final Logbook eventLog;
+    private final SocketReactor reactor;
+    private final TaskScheduler scheduler;
+    private final List<EmulatedDestination> destinations = new ArrayList<>();
+    private final List<ReceiverHost> hosts = new ArrayList<>();
+    private final List<DiscoveryAgent> agents = new ArrayList<>();
+    private final Map<Receiver, ReceiverHost> hostsByReceiver = new ConcurrentHashMap<>();
+    private final DiscoveryRegistry registry = new DiscoveryRegistry();
+    private final UniformRandomProvider random;
+    private int createdReceiverCount;
+
+    private final ReceiverListener receiverListener = new ReceiverListener() {
         @Override
-        public void answer(Receiver receiver, long now, Answer answer) {
-            hostOf(receiver).answer(answer);
+        public void onResponse(Receiver receiver, long now, Response answer) {
+            findHost(receiver).sendResponse(answer);
         }
 
         @Override
-        public void ran(Receiver receiver, long now, Shot shot, boolean dropped) {
-            logbook.add(new Sight(now, dropped ? What.DROPPED : What.RAN, shot.node(), shot.id(), 0, receiver.uid(),
-                    receiver.site().number(), receiver.hall(), 0, 0, 0, null, null));
+        public void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped) {
+            eventLog.add(new Sight(now, dropped ? What.DROPPED : What.RAN, shot.node(), shot.id(), 0, receiver.uid(),
+                    receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
         }
 
         @Override
-        public void fell(Receiver receiver, long now) {
-            logbook.add(new Sight(now, What.FELL, 0, null, 0, receiver.uid(), receiver.site().number(), receiver.hall(), 0, 0,
+        public void onCollapse(Receiver receiver, long now) {
+            eventLog.add(new Sight(now, What.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0,
                     0, null, null));
-            ticker.at(now, () -> {
-                hostOf(receiver).settle();
-                act(hostOf(receiver)::reopen);
+            scheduler.schedule(now, () -> {
+                findHost(receiver).applyReceiverState();
+                runUnchecked(findHost(receiver)::reopenAddresses);
             });
         }
     };
 
-    private interface Act {
+    private interface IoAction {
         void run() throws IOException;
     }
 
     /** @param probes whether receivers answer probes */
-    public Emulator(Experiment day, Logbook logbook, Net net, Ticker ticker, boolean probes) throws IOException {
-        this.day = day;
-        this.logbook = logbook;
-        this.net = net;
-        this.ticker = ticker;
-        chance = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 31 + 7);
+    public Emulator(Experiment day, Logbook logbook, SocketReactor net, TaskScheduler ticker, boolean probes) throws IOException {
+        this.experiment = day;
+        this.eventLog = logbook;
+        this.reactor = net;
+        this.scheduler = ticker;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 31 + 7);
         long window = day.grades().stream().filter(grade -> grade.effect() == Effect.DEDUPLICATED)
                 .mapToLong(grade -> grade.window().micros()).max().orElse(5_000_000);
         for (Destinations some : day.destinations()) {
             for (int i = 0; i < some.count(); i++) {
-                Site site = new Site(sites.size(), some, window);
-                sites.add(site);
+                EmulatedDestination site = new EmulatedDestination(destinations.size(), some, window);
+                destinations.add(site);
                 for (int index = 0; index < some.receivers(); index++) {
                     int hall = index % day.halls().size();
-                    Host host = new Host(net, ticker, logbook, site, day.halls().get(hall), probes);
+                    ReceiverHost host = new ReceiverHost(net, ticker, logbook, site, day.halls().get(hall), probes);
                     hosts.add(host);
-                    host.run(receiver(site, index, hall, host), day.nodes().count());
-                    list(host, Agent.ACTIVE, 0);
+                    host.startReceiver(createReceiver(site, index, hall, host), day.nodes().count());
+                    publishState(host, DiscoveryAgent.ACTIVE, 0);
                 }
             }
         }
         for (int node = 0; node < day.nodes().count(); node++) {
-            Agent agent = new Agent(node, Net.free("127.0." + (10 + node) + ".2"), net, logbook, ticker,
+            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), net, logbook, ticker,
                     day.list().delay().micros());
             agents.add(agent);
-            roster.tell(agent);
+            registry.subscribe(agent);
         }
     }
 
-    private Receiver receiver(Site site, int index, int hall, Host host) {
-        RestorableUniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(chance.nextLong());
-        Receiver receiver = new Receiver(site, "s-" + Integer.toHexString(++uids) + "-" + Long.toHexString(day.seed()), index,
-                hall, told, own);
-        byReceiver.put(receiver, host);
+    private Receiver createReceiver(EmulatedDestination site, int index, int hall, ReceiverHost host) {
+        RestorableUniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
+        Receiver receiver = new Receiver(site, "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index,
+                hall, receiverListener, own);
+        hostsByReceiver.put(receiver, host);
         return receiver;
     }
 
-    private Host hostOf(Receiver receiver) {
-        return byReceiver.get(receiver);
+    private ReceiverHost findHost(Receiver receiver) {
+        return hostsByReceiver.get(receiver);
     }
 
-    private void list(Host host, String state, long bootMillis) {
-        Destinations some = destinations(host.destination());
+    private void publishState(ReceiverHost host, String state, long bootMillis) {
+        Destinations some = findDestinationGroup(host.destination());
         double hint = some.limit() != null && some.limit().rate() != null ? some.limit().rate()
                 : some.limit() != null ? some.limit().count() / some.limit().span().seconds()
                 : some.places() / Math.max(0.001, some.service().mean().seconds());
-        roster.change(host.receiver().uid(), host, some.kind(), hint, state, bootMillis);
+        registry.publishState(host.receiver().uid(), host, some.kind(), hint, state, bootMillis);
     }
 
-    private Destinations destinations(int number) {
+    private Destinations findDestinationGroup(int number) {
         int first = 0;
-        for (Destinations some : day.destinations()) {
+        for (Destinations some : experiment.destinations()) {
             first += some.count();
             if (number < first) {
                 return some;
@@ -133,85 +133,85 @@
         throw new IllegalArgumentException("destination " + number);
     }
 
-    public List<Agent> agents() {
+    public List<DiscoveryAgent> agents() {
         return agents;
     }
 
     /** How many receivers serve now. */
-    public int receivers() {
+    public int receiverCount() {
         return hosts.size();
     }
 
     /** Slots and queues by destination: calls in hand, connections. */
-    public int[][] inHand() {
-        int[][] all = new int[sites.size()][2];
-        for (Host host : hosts) {
+    public int[][] loadByDestination() {
+        int[][] all = new int[destinations.size()][2];
+        for (ReceiverHost host : hosts) {
             Receiver receiver = host.receiver();
-            synchronized (receiver.site()) {
-                all[host.destination()][0] += receiver.inHand();
-                all[host.destination()][1] += receiver.connections();
+            synchronized (receiver.destination()) {
+                all[host.destination()][0] += receiver.callsInProgress();
+                all[host.destination()][1] += receiver.connectionCount();
             }
         }
         return all;
     }
 
     /** A failure of receivers or discovery begins; what befalls whom is drawn from the seed and the failure alone. */
-    public void begin(Failure failure) {
+    public void beginFailure(Failure failure) {
         if (failure.kind().side() == Side.DISCOVERY) {
-            struckAgents(failure).forEach(agent -> agent.begin(failure));
+            findAffectedAgents(failure).forEach(agent -> agent.beginFailure(failure));
             return;
         }
-        List<Host> struck = struck(failure);
-        for (Host host : struck) {
+        List<ReceiverHost> struck = findAffectedHosts(failure);
+        for (ReceiverHost host : struck) {
             switch (failure.kind()) {
                 case DRAIN -> {
-                    list(host, Agent.LEAVING, 0);
+                    publishState(host, DiscoveryAgent.LEAVING, 0);
                     Receiver leaving = host.receiver();
-                    ticker.at(Ticker.now() + day.list().delay().micros() + GRACE, () -> host.shut());
-                    ticker.at(Ticker.now() + day.list().delay().micros() + GONE_AFTER, () -> {
+                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS, () -> host.rejectNewCalls());
+                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
                         if (host.receiver() == leaving) {
-                            list(host, Agent.LEFT, 0);
+                            publishState(host, DiscoveryAgent.LEFT, 0);
                         }
                     });
                 }
-                case REPLACE -> act(() -> {
-                    list(host, Agent.LEFT, 0);
-                    synchronized (host.receiver().site()) {
+                case REPLACE -> runUnchecked(() -> {
+                    publishState(host, DiscoveryAgent.LEFT, 0);
+                    synchronized (host.receiver().destination()) {
                         Receiver old = host.receiver();
-                        host.run(receiver(old.site(), old.index(), old.hall(), host), day.nodes().count());
+                        host.startReceiver(createReceiver(old.destination(), old.index(), old.hall(), host), experiment.nodes().count());
                     }
-                    list(host, Agent.ACTIVE, System.currentTimeMillis());
+                    publishState(host, DiscoveryAgent.ACTIVE, System.currentTimeMillis());
                 });
-                default -> host.begin(failure);
+                default -> host.beginFailure(failure);
             }
         }
-        struck.forEach(host -> act(host::reopen));
+        struck.forEach(host -> runUnchecked(host::reopenAddresses));
     }
 
     /** A failure that began here is over. */
-    public void end(Failure failure) {
+    public void endFailure(Failure failure) {
         if (failure.kind().side() == Side.DISCOVERY) {
-            struckAgents(failure).forEach(agent -> agent.end(failure));
+            findAffectedAgents(failure).forEach(agent -> agent.endFailure(failure));
         } else if (failure.kind() != Kind.DRAIN && failure.kind() != Kind.REPLACE) {
-            List<Host> struck = struck(failure);
-            struck.forEach(host -> host.end(failure));
-            struck.forEach(host -> act(host::reopen));
+            List<ReceiverHost> struck = findAffectedHosts(failure);
+            struck.forEach(host -> host.endFailure(failure));
+            struck.forEach(host -> runUnchecked(host::reopenAddresses));
         }
     }
 
-    private List<Agent> struckAgents(Failure failure) {
+    private List<DiscoveryAgent> findAffectedAgents(Failure failure) {
         return IntStream.range(0, agents.size()).filter(failure::strikes).mapToObj(agents::get).toList();
     }
 
     /** The same machines each time it is asked. */
-    private List<Host> struck(Failure failure) {
-        UniformRandomProvider drawn = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 131 + failure.at().micros()
+    private List<ReceiverHost> findAffectedHosts(Failure failure) {
+        UniformRandomProvider drawn = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
                 + failure.kind().ordinal());
         Failure.Target on = failure.on();
-        List<Host> struck = new ArrayList<>();
-        for (Host host : hosts) {
+        List<ReceiverHost> struck = new ArrayList<>();
+        for (ReceiverHost host : hosts) {
             boolean named = (on.hall() == null || on.hall().equals(host.hallName()))
-                    && (on.kind() == null || on.kind().equals(destinations(host.destination()).kind()))
+                    && (on.kind() == null || on.kind().equals(findDestinationGroup(host.destination()).kind()))
                     && (on.destinations() == null || on.destinations().contains(host.destination()))
                     && (on.receivers() == null || on.receivers().contains(host.receiver().index()));
             if (named && (on.share() == null || drawn.nextDouble() < on.share())) {
@@ -221,7 +221,7 @@
         return struck;
     }
 
-    private void act(Act act) {
+    private void runUnchecked(IoAction act) {
         try {
             act.run();
         } catch (IOException e) {
@@ -231,6 +231,6 @@
 
     @Override
     public void close() {
-        hosts.forEach(Host::close);
+        hosts.forEach(ReceiverHost::close);
     }
 }
--- /dev/null
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -0,0 +1,410 @@
+package terndyke.lab.emulate;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.concurrent.atomic.AtomicLong;
+
+import org.apache.hc.core5.io.CloseMode;
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.reactor.ListenerEndpoint;
+
+import terndyke.lab.model.Response;
+import terndyke.lab.model.Receiver;
+import terndyke.lab.model.Receiver.ConnectOutcome;
+import terndyke.lab.model.Shot;
+import terndyke.lab.plan.Failure;
+import terndyke.lab.referee.Logbook;
+import terndyke.lab.referee.Sight;
+import terndyke.lab.referee.Sight.What;
+import terndyke.lab.wire.RawHttpConnection;
+import terndyke.lab.wire.RawHttpMessage;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.UnreachableAddress;
+import terndyke.lab.wire.TaskScheduler;
+
+/**
+ * A machine that receivers run on, one after another: an address for each node, and the sockets of the receiver that
+ * runs on it now. All of its destination's machines share one lock, the site's.
+ */
+final class ReceiverHost {
+    private static final AtomicLong LAST_CALL_NUMBER = new AtomicLong();
+    private static final byte[] ENDLESS_BODY_CHUNK = new byte[32 << 10];
+    private static final int ENDLESS_BODY_LIMIT_BYTES = 8 << 20; // then even an endless answer is cut
+    private static final byte[] EMPTY_BODY = new byte[0];
+
+    private final SocketReactor reactor;
+    private final TaskScheduler scheduler;
+    private final Logbook eventLog;
+    private final Object lock;
+    private final String hallName;
+    private final boolean answersProbes;
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
+    private final List<ListenerEndpoint> listeners = new ArrayList<>();
+    private final List<UnreachableAddress> unreachableAddresses = new ArrayList<>();
+    private final Set<NodeConnection> connections = new HashSet<>();
+    private Receiver receiver;
+    private ConnectOutcome connectOutcome = ConnectOutcome.REFUSED;
+    private boolean addressesOutdated; // its addresses are not yet as it meets connections
+    private long nextAdvanceMicros = Long.MAX_VALUE;
+
+    ReceiverHost(SocketReactor net, TaskScheduler ticker, Logbook logbook, Object lock, String hallName, boolean probes) {
+        this.reactor = net;
+        this.scheduler = ticker;
+        this.eventLog = logbook;
+        this.lock = lock;
+        this.hallName = hallName;
+        this.answersProbes = probes;
+    }
+
+    String hallName() {
+        return hallName;
+    }
+
+    int hall() {
+        return receiver.hall();
+    }
+
+    int destination() {
+        return receiver.destination().number();
+    }
+
+    InetSocketAddress address(int node) {
+        return addresses.get(node);
+    }
+
+    Receiver receiver() {
+        return receiver;
+    }
+
+    /** Serves with this receiver from now on; whoever was there before is gone with its connections. */
+    void startReceiver(Receiver next, int nodes) throws IOException {
+        synchronized (lock) {
+            receiver = next;
+            if (addresses.isEmpty()) {
+                for (int node = 0; node < nodes; node++) {
+                    addresses.add(SocketReactor.findFreeAddress("127.0." + (10 + node) + ".1"));
+                }
+            }
+            List.copyOf(connections).forEach(RawHttpConnection::reset);
+            connections.clear();
+            updateConnectOutcome();
+            reopenAddresses();
+        }
+    }
+
+    /** Closes what no longer meets connections as the receiver does now; reopen does the rest. */
+    private void updateConnectOutcome() {
+        ConnectOutcome now = receiver.openConnection();
+        if (now == ConnectOutcome.ACCEPTED) {
+            receiver.connectionClosed(); // it was only asked
+        }
+        if (now != connectOutcome) {
+            connectOutcome = now;
+            addressesOutdated = true;
+            listeners.forEach(listener -> listener.close(CloseMode.IMMEDIATE));
+            listeners.clear();
+            unreachableAddresses.forEach(UnreachableAddress::close);
+            unreachableAddresses.clear();
+        }
+    }
+
+    /** Opens or cuts off the addresses where they changed. Apart from meet, since a closed listener is gone only later. */
+    void reopenAddresses() throws IOException {
+        synchronized (lock) {
+            if (!addressesOutdated) {
+                return;
+            }
+            addressesOutdated = false;
+            for (int node = 0; node < addresses.size(); node++) {
+                int from = node;
+                switch (connectOutcome) {
+                    case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(from),
+                            session -> new NodeConnection(session, from))));
+                    case UNREACHABLE -> unreachableAddresses.add(retryOnIoException(() -> new UnreachableAddress(addresses.get(from))));
+                    default -> { }
+                }
+            }
+        }
+    }
+
+    private interface IoSupplier<T> {
+        T get() throws IOException;
+    }
+
+    /** The old listener's socket goes with the next pass of its selector. */
+    private static <T> T retryOnIoException(IoSupplier<T> opening) throws IOException {
+        IOException last = null;
+        for (int i = 0; i < 200; i++) {
+            try {
+                return opening.get();
+            } catch (IOException e) {
+                last = e;
+            }
+            try {
+                Thread.sleep(5);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+                break;
+            }
+        }
+        throw last;
+    }
+
+    void beginFailure(Failure failure) {
+        synchronized (lock) {
+            receiver.beginFailure(TaskScheduler.nowMicros(), failure);
+            if (isOutage(failure)) {
+                logEvent(What.OUTAGE, failure.kind().told());
+            }
+            applyReceiverState();
+        }
+    }
+
+    void endFailure(Failure failure) {
+        synchronized (lock) {
+            receiver.endFailure(TaskScheduler.nowMicros(), failure);
+            if (isOutage(failure)) {
+                logEvent(What.BACK, failure.kind().told());
+            }
+            if (failure.kind() == Failure.Kind.SILENT) {
+                List.copyOf(connections).forEach(RawHttpConnection::reset);
+            }
+            applyReceiverState();
+        }
+    }
+
+    static boolean isOutage(Failure failure) {
+        return switch (failure.kind()) {
+            case CRASH, SILENT, HANG, SHUT, ERRORS -> true;
+            default -> false;
+        };
+    }
+
+    void rejectNewCalls() {
+        synchronized (lock) {
+            receiver.rejectNewCalls();
+        }
+    }
+
+    /** After anything that changes what it is: its connections and addresses follow. */
+    void applyReceiverState() {
+        if (receiver.isDown()) {
+            List.copyOf(connections).forEach(RawHttpConnection::reset);
+        } else if (receiver.isSilent()) {
+            connections.forEach(RawHttpConnection::stopReading);
+        }
+        updateConnectOutcome();
+        scheduleAdvance();
+    }
+
+    private void logEvent(What what, String note) {
+        eventLog.add(new Sight(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0, 0, note, null));
+    }
+
+    private void scheduleAdvance() {
+        long due = receiver.nextDueMicros();
+        if (due < nextAdvanceMicros) {
+            nextAdvanceMicros = due;
+            scheduler.schedule(due, this::advance);
+        }
+    }
+
+    private void advance() {
+        synchronized (lock) {
+            nextAdvanceMicros = Long.MAX_VALUE;
+            receiver.advance(TaskScheduler.nowMicros());
+            scheduleAdvance();
+        }
+    }
+
+    void close() {
+        synchronized (lock) {
+            listeners.forEach(listener -> listener.close(CloseMode.IMMEDIATE));
+            unreachableAddresses.forEach(UnreachableAddress::close);
+            List.copyOf(connections).forEach(RawHttpConnection::reset);
+        }
+    }
+
+    /** Writes an answer that is due. */
+    void sendResponse(Response answer) {
+        NodeConnection side = (NodeConnection) answer.shot().connection();
+        if (side.pendingCall != null && side.pendingCall.shot == answer.shot()) {
+            side.sendResponse(answer);
+        }
+    }
+
+    /** A call that waits for its answer. */
+    private record PendingCall(long callNumber, Shot shot) { }
+
+    /** A node's connection. */
+    private final class NodeConnection extends RawHttpConnection {
+        private final int node;
+        private final Receiver connectedReceiver;
+        private boolean hasReceivedCall;
+        private boolean countedByReceiver;
+        private boolean resetDuringRequest;
+        private long requestStartMicros;
+        private PendingCall pendingCall;
+
+        NodeConnection(IOSession session, int node) {
+            super(session);
+            this.node = node;
+            connectedReceiver = receiver;
+        }
+
+        @Override
+        protected void onOpen() {
+            synchronized (lock) {
+                countedByReceiver = connectedReceiver == receiver && connectedReceiver.openConnection() == ConnectOutcome.ACCEPTED;
+                if (!countedByReceiver) {
+                    reset();
+                    return;
+                }
+                connections.add(this);
+            }
+        }
+
+        @Override
+        protected void onMessageStart() {
+            requestStartMicros = TaskScheduler.nowMicros();
+            synchronized (lock) {
+                resetDuringRequest = connectedReceiver.drawRequestReset();
+            }
+            if (resetDuringRequest) {
+                reset();
+            }
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) {
+            if (resetDuringRequest) {
+                return;
+            }
+            if (message.method().equals("POST") && message.target().equals("/events")) {
+                handleCall(message);
+            } else if (answersProbes && message.method().equals("GET")) {
+                synchronized (lock) {
+                    write(RawHttpMessage.encode(connectedReceiver.callsInProgress() < 1_000 ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 -", "", EMPTY_BODY));
+                }
+            } else {
+                write(RawHttpMessage.encode("HTTP/1.1 404 -", "", EMPTY_BODY));
+            }
+        }
+
+        private void handleCall(RawHttpMessage message) {
+            String id = message.header("request-id");
+            long number = LAST_CALL_NUMBER.incrementAndGet();
+            synchronized (lock) {
+                if (pendingCall != null) { // one call at a time on a connection
+                    reset();
+                    return;
+                }
+                Shot shot = new Shot(id, message.header("idempotency-key"), node, this, !hasReceivedCall);
+                hasReceivedCall = true;
+                pendingCall = new PendingCall(number, shot);
+                logEvent(What.CALL, 0, 0, requestStartMicros, Integer.toString(message.body().length));
+                connectedReceiver.callReceived(TaskScheduler.nowMicros(), shot);
+                scheduleAdvance();
+            }
+        }
+
+        private void logEvent(What what, int status, long toldWait, long began) {
+            logEvent(what, status, toldWait, began, null);
+        }
+
+        private void logEvent(What what, int status, long toldWait, long began, String note) {
+            eventLog.add(new Sight(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber, connectedReceiver.uid(), connectedReceiver.destination().number(),
+                    connectedReceiver.hall(), status, toldWait, began, note, null));
+        }
+
+        private void sendResponse(Response answer) {
+            switch (answer.mode()) {
+                case NO_RESPONSE -> { }
+                case RESET -> reset();
+                case MALFORMED_STATUS_LINE -> {
+                    logEvent(What.CALL_ANSWERED, 0, 0, 0);
+                    pendingCall = null;
+                    write("HTP/1.1 2x0 \u0001\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                    close();
+                }
+                case MALFORMED_HEADERS -> {
+                    logEvent(What.CALL_ANSWERED, 200, 0, 0);
+                    pendingCall = null;
+                    write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002".getBytes(StandardCharsets.ISO_8859_1));
+                    close();
+                }
+                case ENDLESS_BODY -> {
+                    logEvent(What.CALL_ANSWERED, 200, 0, 0);
+                    pendingCall = null;
+                    write("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                    scheduler.schedule(TaskScheduler.nowMicros(), () -> continueEndlessBody(0));
+                }
+                case CONNECTION_REJECTED -> {
+                    logEvent(What.CALL_ANSWERED, answer.status(), 0, 0);
+                    pendingCall = null;
+                    write(RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", "Connection: close\r\n", EMPTY_BODY));
+                    close();
+                }
+                default -> {
+                    byte[] bytes = encodeResponse(answer);
+                    logEvent(What.CALL_ANSWERED, answer.status(), answer.retryAfterMicros(), 0);
+                    pendingCall = null;
+                    write(bytes);
+                    if (answer.mode() == Response.ResponseMode.DUPLICATED) {
+                        write(bytes);
+                    }
+                }
+            }
+        }
+
+        private void continueEndlessBody(int written) {
+            if (isOpen() && written < ENDLESS_BODY_LIMIT_BYTES) {
+                boolean taken = unsentBytes() == 0;
+                if (taken) {
+                    write(ENDLESS_BODY_CHUNK);
+                }
+                scheduler.schedule(TaskScheduler.nowMicros() + 2_000, () -> continueEndlessBody(written + (taken ? ENDLESS_BODY_CHUNK.length : 0)));
+            } else {
+                reset();
+            }
+        }
+
+        private byte[] encodeResponse(Response answer) {
+            StringBuilder fields = new StringBuilder();
+            if (answer.retryAfterMicros() > 0) {
+                fields.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", answer.retryAfterMicros() / 1e6)).append("\r\n");
+            }
+            if (answer.loadReport() != null) {
+                fields.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", answer.loadReport()[0],
+                        answer.loadReport()[1]));
+            }
+            return RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", fields.toString(), EMPTY_BODY);
+        }
+
+        @Override
+        protected void onMalformedInput(String why) {
+            sendBadRequestAndClose();
+        }
+
+        @Override
+        protected void onClosed() {
+            synchronized (lock) {
+                connections.remove(this);
+                if (countedByReceiver) {
+                    connectedReceiver.connectionClosed();
+                }
+                if (pendingCall != null) {
+                    logEvent(What.CALL_ENDED, 0, 0, 0);
+                    connectedReceiver.callerDisconnected(pendingCall.shot);
+                    pendingCall = null;
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/terndyke/lab/load/LoadGenerator.java
@@ -0,0 +1,197 @@
+package terndyke.lab.load;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
+
+import org.HdrHistogram.Histogram;
+import org.apache.hc.core5.reactor.IOSession;
+
+import terndyke.lab.wire.RawHttpConnection;
+import terndyke.lab.wire.RawHttpMessage;
+import terndyke.lab.wire.SocketReactor;
+
+/**
+ * Sends a schedule to one address, open loop: each request is due at its time whatever the answers do, and its time runs
+ * from then. A request for which no connection is free waits, and that wait counts too.
+ */
+public final class LoadGenerator {
+    private static final long MAX_LATENCY_MICROS = 600_000_000L;
+
+    private final SocketReactor reactor;
+    private final InetSocketAddress targetAddress;
+    private final int maxConnections;
+    private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> waitingRequests = new ArrayDeque<>();
+    private final Histogram latencyFromDue = new Histogram(1, MAX_LATENCY_MICROS, 3);
+    private final Histogram latencyFromSent = new Histogram(1, MAX_LATENCY_MICROS, 3);
+    private final AtomicLong lastRequestId = new AtomicLong();
+    private final Pacer pacer = new Pacer();
+    private int connectionCount;
+    private int unfinishedRequestCount;
+    private long answeredCount;
+    private long acceptedCount;
+    private long brokenCount;
+
+    /** A request that is due: its time in microseconds. */
+    private record PendingRequest(Arrival arrival, long dueMicros) { }
+
+    /** What came of it. */
+    public record Result(int offered, long answered, long accepted, long broken, int unanswered, Histogram latencyFromDue,
+            Histogram latencyFromSent, Histogram lateness, double seconds) { }
+
+    public LoadGenerator(SocketReactor net, InetSocketAddress to, int connections) {
+        this.reactor = net;
+        this.targetAddress = to;
+        this.maxConnections = connections;
+    }
+
+    /** Opens connections ahead of the first due time, so that opening them is no part of the measurement. */
+    public void openConnections(int many) throws InterruptedException {
+        synchronized (this) {
+            for (int i = 0; i < Math.min(many, maxConnections); i++) {
+                connect(null);
+            }
+        }
+        long end = System.nanoTime() + 5_000_000_000L;
+        while (System.nanoTime() < end) {
+            synchronized (this) {
+                if (idleConnections.size() >= Math.min(many, maxConnections)) {
+                    return;
+                }
+            }
+            Thread.sleep(5);
+        }
+    }
+
+    /** Runs a schedule and waits for what is still out at its end, for that long at most. */
+    public Result run(List<Arrival> arrivals, long patienceMicros) throws InterruptedException {
+        long start = System.nanoTime() / 1000 + 50_000;
+        int ran = pacer.run(arrivals.size(), i -> (start + arrivals.get(i).due()) * 1000,
+                i -> requestDue(new PendingRequest(arrivals.get(i), start + arrivals.get(i).due())));
+        long end = System.nanoTime() / 1000 + patienceMicros;
+        synchronized (this) {
+            while (unfinishedRequestCount > 0 && System.nanoTime() / 1000 < end) {
+                wait(20);
+            }
+            return new Result(ran, answeredCount, acceptedCount, brokenCount, unfinishedRequestCount, latencyFromDue.copy(), latencyFromSent.copy(), pacer.lateness(),
+                    (System.nanoTime() / 1000 - start) / 1e6);
+        }
+    }
+
+    public void stop() {
+        pacer.stop();
+    }
+
+    private void requestDue(PendingRequest ask) {
+        ClientConnection side;
+        synchronized (this) {
+            unfinishedRequestCount++;
+            side = idleConnections.pollLast();
+            if (side == null) {
+                if (connectionCount < maxConnections) {
+                    connect(ask);
+                } else {
+                    waitingRequests.add(ask);
+                }
+                return;
+            }
+        }
+        side.sendRequest(ask);
+    }
+
+    private void connect(PendingRequest ask) {
+        connectionCount++;
+        reactor.connect(targetAddress, 5_000_000, session -> new ClientConnection(session, ask), () -> connectionClosed(ask));
+    }
+
+    private void connectionClosed(PendingRequest ask) {
+        synchronized (this) {
+            connectionCount--;
+            if (ask != null) {
+                brokenCount++;
+                unfinishedRequestCount--;
+            }
+            PendingRequest next = waitingRequests.poll();
+            if (next != null) {
+                connect(next);
+            }
+            notifyAll();
+        }
+    }
+
+    private final class ClientConnection extends RawHttpConnection {
+        private PendingRequest pendingRequest;
+        private long sentMicros;
+
+        ClientConnection(IOSession session, PendingRequest ask) {
+            super(session);
+            this.pendingRequest = ask;
+        }
+
+        @Override
+        protected void onOpen() {
+            if (pendingRequest != null) {
+                sendRequest(pendingRequest);
+            } else {
+                sendNextOrBecomeIdle();
+            }
+        }
+
+        void sendRequest(PendingRequest one) {
+            pendingRequest = one;
+            String fields = "Host: app.svc\r\nRequest-Id: " + Long.toHexString(lastRequestId.incrementAndGet() | 1L << 60)
+                    + "\r\nTenant: " + one.arrival.tenant() + "\r\nRequest-Timeout-Ms: 5000\r\nX-Consignee: dest="
+                    + one.arrival.destination() + "\r\n"
+                    + (one.arrival.key() == null ? "" : "Cookie: key=" + one.arrival.key() + "\r\n");
+            sentMicros = System.nanoTime() / 1000;
+            write(RawHttpMessage.encode("POST /" + one.arrival.grade() + " HTTP/1.1", fields,
+                    "x".repeat(one.arrival.bytes()).getBytes(StandardCharsets.US_ASCII)));
+        }
+
+        private void sendNextOrBecomeIdle() {
+            PendingRequest next;
+            synchronized (LoadGenerator.this) {
+                next = waitingRequests.poll();
+                if (next == null) {
+                    idleConnections.add(this);
+                }
+                LoadGenerator.this.notifyAll();
+            }
+            if (next != null) {
+                sendRequest(next);
+            }
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) {
+            PendingRequest one = pendingRequest;
+            if (one == null) {
+                reset();
+                return;
+            }
+            long now = System.nanoTime() / 1000;
+            pendingRequest = null;
+            synchronized (LoadGenerator.this) {
+                unfinishedRequestCount--;
+                answeredCount++;
+                acceptedCount += message.status() == 202 || message.status() == 200 ? 1 : 0;
+                latencyFromDue.recordValue(Math.max(1, Math.min(MAX_LATENCY_MICROS, now - one.dueMicros)));
+                latencyFromSent.recordValue(Math.max(1, Math.min(MAX_LATENCY_MICROS, now - sentMicros)));
+            }
+            sendNextOrBecomeIdle();
+        }
+
+        @Override
+        protected void onClosed() {
+            synchronized (LoadGenerator.this) {
+                idleConnections.remove(this);
+            }
+            PendingRequest one = pendingRequest;
+            pendingRequest = null;
+            connectionClosed(one);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -0,0 +1,206 @@
+package terndyke.lab.load;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+import org.apache.hc.core5.reactor.IOSession;
+
+import terndyke.lab.plan.Failure;
+import terndyke.lab.wire.RawHttpConnection;
+import terndyke.lab.wire.RawHttpMessage;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
+
+/** Clients that do harm for a while: they trickle, say nothing, or send what cannot be read. They hand in nothing. */
+public final class MisbehavingClients {
+    private static final long RECONNECT_DELAY_MICROS = 200_000;
+    private static final List<String> MALFORMED_REQUESTS = List.of("\r\n\r\n\r\n", "GET\r\n\r\n", "\u0016\u0003\u0001 hello",
+            "POST /%s HTTP/1.1\r\nContent-Length: -4\r\n\r\n",
+            "POST /%s HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            "POST /%s HTTP/1.1\r\nHost: a\r\nRequest-Timeout-Ms: soon\r\nContent-Length: 0\r\n\r\n",
+            "POST /%s HTTP/9.9\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+
+    private final SocketReactor reactor;
+    private final TaskScheduler scheduler;
+    private final List<InetSocketAddress> nodeAddresses;
+    private final String gradeName;
+    private final UniformRandomProvider random;
+
+    public MisbehavingClients(SocketReactor net, TaskScheduler ticker, List<InetSocketAddress> nodes, String grade, long seed) {
+        this.reactor = net;
+        this.scheduler = ticker;
+        this.nodeAddresses = nodes;
+        this.gradeName = grade;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 13 + 1);
+    }
+
+    /** Lets such clients loose until a time. */
+    public void beginFailure(Failure failure, long until) {
+        for (int node = 0; node < nodeAddresses.size(); node++) {
+            if (failure.strikes(node)) {
+                int many = (int) Math.round(failure.amount());
+                switch (failure.kind()) {
+                    case TRICKLE, MUTE -> {
+                        for (int i = 0; i < many; i++) {
+                            connectSlowClient(failure, node, until);
+                        }
+                    }
+                    case GARBAGE -> sendMalformedRequests(node, Math.round(1e6 / failure.amount()), until);
+                    case HUGE -> sendOversizedRequests(node, Math.round(1e6 / failure.amount()), until);
+                    default -> { }
+                }
+            }
+        }
+    }
+
+    private void connectSlowClient(Failure failure, int node, long until) {
+        if (TaskScheduler.nowMicros() < until) {
+            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SlowClientConnection(session, failure, node, until),
+                    () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, until)));
+        }
+    }
+
+    private void sendMalformedRequests(int node, long every, long until) {
+        long now = TaskScheduler.nowMicros();
+        if (now < until) {
+            String text;
+            synchronized (random) {
+                text = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
+            }
+            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, String.format(text, gradeName)), () -> { });
+            scheduler.schedule(now + every, () -> sendMalformedRequests(node, every, until));
+        }
+    }
+
+    private void sendOversizedRequests(int node, long every, long until) {
+        long now = TaskScheduler.nowMicros();
+        if (now < until) {
+            reactor.connect(nodeAddresses.get(node), 1_000_000, OversizedRequestConnection::new, () -> { });
+            scheduler.schedule(now + every, () -> sendOversizedRequests(node, every, until));
+        }
+    }
+
+    /** Hands in a foreign record under an id that belongs to another client; nobody reads what it is told. */
+    void sendForeignRequest(int node, String id, Arrival owner) {
+        String head = "POST /" + owner.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
+                + owner.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + owner.destination()
+                + "\r\nCookie: key=foreign" + id + "\r\nContent-Length: 0\r\n\r\n";
+        reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, head), () -> { });
+    }
+
+    /** A connection that sends a body far beyond every limit, as fast as it is read. */
+    private final class OversizedRequestConnection extends RawHttpConnection {
+        private static final int BODY_BYTES = 60_000_000;
+        private static final byte[] CHUNK = new byte[64 << 10];
+        private int sentBytes;
+
+        OversizedRequestConnection(IOSession session) {
+            super(session);
+        }
+
+        @Override
+        protected void onOpen() {
+            write(("POST /" + gradeName + " HTTP/1.1\r\nHost: app.svc\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n")
+                    .getBytes(StandardCharsets.US_ASCII));
+            writeNextChunks();
+        }
+
+        private void writeNextChunks() {
+            for (int i = 0; i < 8 && isOpen() && unsentBytes() == 0 && sentBytes < BODY_BYTES; i++) {
+                write(CHUNK);
+                sentBytes += CHUNK.length;
+            }
+            if (isOpen() && sentBytes < BODY_BYTES) {
+                scheduler.schedule(TaskScheduler.nowMicros() + 2_000, this::writeNextChunks);
+            } else {
+                close();
+            }
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) { }
+
+        @Override
+        protected void onMalformedInput(String why) { }
+    }
+
+    /** A connection that hands in half a request, byte by byte, or nothing. */
+    private final class SlowClientConnection extends RawHttpConnection {
+        private final Failure failure;
+        private final int node;
+        private final long untilMicros;
+        private final byte[] requestHead;
+        private int sentBytes;
+
+        SlowClientConnection(IOSession session, Failure failure, int node, long until) {
+            super(session);
+            this.failure = failure;
+            this.node = node;
+            this.untilMicros = until;
+            requestHead = ("POST /" + gradeName + " HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 100000\r\n"
+                    + "X-Slow: " + "z".repeat(2_000)).getBytes(StandardCharsets.US_ASCII);
+        }
+
+        @Override
+        protected void onOpen() {
+            scheduler.schedule(untilMicros, this::reset);
+            if (failure.kind() == Failure.Kind.TRICKLE) {
+                writeNextByte();
+            }
+        }
+
+        private void writeNextByte() {
+            if (isOpen() && sentBytes < requestHead.length) {
+                write(new byte[] {requestHead[sentBytes++]});
+                scheduler.schedule(TaskScheduler.nowMicros() + 100_000, this::writeNextByte);
+            }
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) { }
+
+        @Override
+        protected void onMalformedInput(String why) { }
+
+        @Override
+        protected void onClosed() {
+            scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, untilMicros));
+        }
+    }
+
+    /** A connection that sends what cannot be read and goes with the answer, or after a while. */
+    private final class SingleRequestConnection extends RawHttpConnection {
+        private final String requestText;
+
+        SingleRequestConnection(IOSession session, String text) {
+            super(session);
+            this.requestText = text;
+        }
+
+        @Override
+        protected void onOpen() {
+            write(requestText.getBytes(StandardCharsets.ISO_8859_1));
+            scheduler.schedule(TaskScheduler.nowMicros() + 3_500_000, this::reset);
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) {
+            close();
+        }
+    }
+
+    /** The messages of a flood, as the schedule would hold them. */
+    public static List<Arrival> floodArrivals(Failure failure, String grade, String tenant, int destinations) {
+        List<Arrival> arrivals = new ArrayList<>();
+        int count = (int) Math.round(failure.amount() * failure.lasts().seconds());
+        for (int i = 0; i < count; i++) {
+            arrivals.add(new Arrival(failure.at().micros() + Math.round(i / failure.amount() * 1e6), grade, tenant, null,
+                    i % destinations, 100));
+        }
+        return arrivals;
+    }
+}
--- a/src/main/java/terndyke/lab/load/Pacer.java
+++ b/src/main/java/terndyke/lab/load/Pacer.java
@@ -8,7 +8,7 @@
 
 /** Starts each item of a schedule when it is due, never waiting for anything else, and measures how late it was. */
 public final class Pacer {
-    private static final long SPIN = 60_000; // the last nanoseconds before a due time are not slept
+    private static final long SPIN_NANOS = 60_000; // the last nanoseconds before a due time are not slept
 
     private final Histogram lateness = new Histogram(1, 3_600_000_000L, 3);
     private volatile boolean stopped;
@@ -18,8 +18,8 @@
         for (int i = 0; i < count; i++) {
             long at = due.applyAsLong(i);
             for (long left = at - System.nanoTime(); left > 0 && !stopped; left = at - System.nanoTime()) {
-                if (left > SPIN) {
-                    LockSupport.parkNanos(Math.min(left - SPIN, 100_000_000));
+                if (left > SPIN_NANOS) {
+                    LockSupport.parkNanos(Math.min(left - SPIN_NANOS, 100_000_000));
                 } else {
                     Thread.onSpinWait();
                 }
--- a/src/main/java/terndyke/lab/load/Trace.java
+++ b/src/main/java/terndyke/lab/load/TraceFile.java
@@ -22,16 +22,16 @@
 import terndyke.lab.plan.Experiment;
 
 /** A recorded schedule: JSON lines, one arrival a line, compressed by zstd where the name ends in .zst. */
-public final class Trace {
+public final class TraceFile {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String PACKED = ".zst";
+    private static final String COMPRESSED_SUFFIX = ".zst";
 
-    private Trace() { }
+    private TraceFile() { }
 
     public static void write(Path file, List<Arrival> arrivals) throws IOException {
         OutputStream out = Files.newOutputStream(file);
         try (BufferedWriter lines = new BufferedWriter(new OutputStreamWriter(
-                file.toString().endsWith(PACKED) ? new ZstdOutputStream(out) : out, StandardCharsets.UTF_8))) {
+                file.toString().endsWith(COMPRESSED_SUFFIX) ? new ZstdOutputStream(out) : out, StandardCharsets.UTF_8))) {
             for (Arrival arrival : arrivals) {
                 lines.write(JSON.writeValueAsString(arrival));
                 lines.newLine();
@@ -45,14 +45,14 @@
         List<String> faults = new ArrayList<>();
         try (InputStream in = Files.newInputStream(file);
                 BufferedReader lines = new BufferedReader(new InputStreamReader(
-                        file.toString().endsWith(PACKED) ? new ZstdInputStream(in) : in, StandardCharsets.UTF_8))) {
+                        file.toString().endsWith(COMPRESSED_SUFFIX) ? new ZstdInputStream(in) : in, StandardCharsets.UTF_8))) {
             long last = Long.MIN_VALUE;
             int number = 0;
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 number++;
                 try {
                     Arrival arrival = JSON.readValue(line, Arrival.class);
-                    String fault = fault(arrival, day, last);
+                    String fault = validate(arrival, day, last);
                     if (fault != null) {
                         faults.add(file + ":" + number + ": " + fault);
                     }
@@ -71,7 +71,7 @@
         return arrivals;
     }
 
-    private static String fault(Arrival arrival, Experiment day, long last) {
+    private static String validate(Arrival arrival, Experiment day, long last) {
         if (arrival.due() < Math.max(0, last)) {
             return "due: " + arrival.due() + " comes before the line above it";
         }
--- a/src/main/java/terndyke/lab/model/Allowance.java
+++ b/src/main/java/terndyke/lab/model/RateLimiter.java
@@ -3,15 +3,15 @@
 import terndyke.lab.plan.Experiment.Limit;
 
 /** The calls that one limit lets through: a rate with a burst, or a count in each span of the clock. */
-final class Allowance {
+final class RateLimiter {
     private final Limit limit;
     private final double burst;
     private double tokens;
-    private long at = Long.MIN_VALUE;
-    private long spanStart;
-    private int used;
+    private long lastRefillMicros = Long.MIN_VALUE;
+    private long windowStartMicros;
+    private int usedInWindow;
 
-    Allowance(Limit limit) {
+    RateLimiter(Limit limit) {
         this.limit = limit;
         burst = limit == null || limit.rate() == null ? 0
                 : limit.burst() != null ? limit.burst() : Math.max(1, limit.rate() / 4);
@@ -19,13 +19,13 @@
     }
 
     /** Whether one more call is let through; only such a one uses it up. */
-    boolean take(long now) {
+    boolean tryAcquire(long now) {
         if (limit == null) {
             return true;
         }
         refill(now);
         if (limit.rate() == null) {
-            return used < limit.count() && ++used > 0;
+            return usedInWindow < limit.count() && ++usedInWindow > 0;
         }
         if (tokens < 1) {
             return false;
@@ -35,35 +35,35 @@
     }
 
     /** When the next call would be let through, if nobody else came. */
-    long freeAt(long now) {
+    long nextPermitMicros(long now) {
         refill(now);
-        return limit.rate() == null ? spanStart + limit.span().micros()
+        return limit.rate() == null ? windowStartMicros + limit.span().micros()
                 : now + (long) Math.ceil((1 - tokens) / limit.rate() * 1e6);
     }
 
     /** The share that is left. */
-    double left(long now) {
+    double remainingShare(long now) {
         if (limit == null) {
             return 1;
         }
         refill(now);
-        return limit.rate() == null ? 1 - used / (double) limit.count() : tokens / burst;
+        return limit.rate() == null ? 1 - usedInWindow / (double) limit.count() : tokens / burst;
     }
 
     /** Calls a second; 0 where there is no limit. */
-    double perSecond() {
+    double callsPerSecond() {
         return limit == null ? 0 : limit.rate() != null ? limit.rate() : limit.count() / limit.span().seconds();
     }
 
     private void refill(long now) {
         if (limit.rate() != null) {
-            tokens = at == Long.MIN_VALUE ? burst : Math.min(burst, tokens + (now - at) / 1e6 * limit.rate());
-            at = now;
+            tokens = lastRefillMicros == Long.MIN_VALUE ? burst : Math.min(burst, tokens + (now - lastRefillMicros) / 1e6 * limit.rate());
+            lastRefillMicros = now;
         } else {
             long start = now - Math.floorMod(now, limit.span().micros());
-            if (start != spanStart) {
-                spanStart = start;
-                used = 0;
+            if (start != windowStartMicros) {
+                windowStartMicros = start;
+                usedInWindow = 0;
             }
         }
     }
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -11,7 +11,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-import terndyke.lab.model.Answer.Manner;
+import terndyke.lab.model.Response.ResponseMode;
 import terndyke.lab.plan.Failure;
 import terndyke.lab.plan.Failure.Kind;
 
@@ -23,46 +23,46 @@
     private static final double[] NO_REPORT = null;
 
     /** How a connection that comes is met. */
-    public enum Coming { UP, REFUSED, NEVER_UP }
+    public enum ConnectOutcome { ACCEPTED, REFUSED, UNREACHABLE }
 
-    private final Site site;
+    private final EmulatedDestination destination;
     private final String uid;
     private final int index;
     private final int hall;
-    private final Told told;
-    private final UniformRandomProvider chance;
-    private final ServiceTime service;
-    private final Allowance allowance;
+    private final ReceiverListener listener;
+    private final UniformRandomProvider random;
+    private final ServiceTime serviceTime;
+    private final RateLimiter rateLimiter;
     private final ArrayDeque<Shot> queue = new ArrayDeque<>();
-    private final PriorityQueue<Work> work = new PriorityQueue<>(
-            Comparator.<Work>comparingLong(one -> one.due).thenComparingLong(one -> one.number));
-    private final Map<Kind, List<Failure>> wrong = new EnumMap<>(Kind.class);
-    private final List<Shot> held = new ArrayList<>(); // read while it hung
-    private int busy;
-    private int connections;
-    private long numbers;
-    private long backAt = Long.MIN_VALUE; // when it came back from an outage
-    private long weighedAt;
-    private double weight; // calls above what it can do, since it came back
-    private boolean fallen;
-    private boolean shutForGood;
+    private final PriorityQueue<ScheduledWork> scheduledWork = new PriorityQueue<>(
+            Comparator.<ScheduledWork>comparingLong(one -> one.dueMicros).thenComparingLong(one -> one.sequence));
+    private final Map<Kind, List<Failure>> activeFailures = new EnumMap<>(Kind.class);
+    private final List<Shot> callsReadWhileHung = new ArrayList<>(); // read while it hung
+    private int busyPlaces;
+    private int connectionCount;
+    private long lastSequence;
+    private long recoveredAtMicros = Long.MIN_VALUE; // when it came back from an outage
+    private long excessUpdatedAtMicros;
+    private double excessCalls; // calls above what it can do, since it came back
+    private boolean collapsed;
+    private boolean rejectsNewCalls;
 
     /** A piece of work that ends at a time: a call under way, or an answer that only waits for its time. */
-    private record Work(long due, long number, Shot shot, Answer answer, boolean place) { }
+    private record ScheduledWork(long dueMicros, long sequence, Shot shot, Response response, boolean occupiesPlace) { }
 
-    public Receiver(Site site, String uid, int index, int hall, Told told, UniformRandomProvider chance) {
-        this.site = site;
+    public Receiver(EmulatedDestination site, String uid, int index, int hall, ReceiverListener told, UniformRandomProvider chance) {
+        this.destination = site;
         this.uid = uid;
         this.index = index;
         this.hall = hall;
-        this.told = told;
-        this.chance = chance;
-        service = ServiceTime.of(site.told.service(), chance);
-        allowance = site.allowance();
+        this.listener = told;
+        this.random = chance;
+        serviceTime = ServiceTime.of(site.configuration.service(), chance);
+        rateLimiter = site.rateLimiterForReceiver();
     }
 
-    public Site site() {
-        return site;
+    public EmulatedDestination destination() {
+        return destination;
     }
 
     public String uid() {
@@ -79,229 +79,229 @@
     }
 
     /** Shots at work and in the queue. */
-    public int inHand() {
-        return busy + queue.size();
+    public int callsInProgress() {
+        return busyPlaces + queue.size();
     }
 
-    public int connections() {
-        return connections;
+    public int connectionCount() {
+        return connectionCount;
     }
 
     /** What a connection that comes now meets; one that comes up has to be told again once it ends. */
-    public Coming connect() {
-        if (is(Kind.SILENT) || is(Kind.NEVER_UP)) {
-            return Coming.NEVER_UP;
+    public ConnectOutcome openConnection() {
+        if (hasFailure(Kind.SILENT) || hasFailure(Kind.NEVER_UP)) {
+            return ConnectOutcome.UNREACHABLE;
         }
-        if (down() || is(Kind.REFUSED)) {
-            return Coming.REFUSED;
+        if (isDown() || hasFailure(Kind.REFUSED)) {
+            return ConnectOutcome.REFUSED;
         }
-        connections++;
-        return Coming.UP;
+        connectionCount++;
+        return ConnectOutcome.ACCEPTED;
     }
 
-    public void disconnected() {
-        connections--;
+    public void connectionClosed() {
+        connectionCount--;
     }
 
     /** Whether its process is gone, so that no connection to it lives. */
-    public boolean down() {
-        return fallen || is(Kind.CRASH);
+    public boolean isDown() {
+        return collapsed || hasFailure(Kind.CRASH);
     }
 
     /** Whether it reads nothing and writes nothing. */
-    public boolean silent() {
-        return is(Kind.SILENT);
+    public boolean isSilent() {
+        return hasFailure(Kind.SILENT);
     }
 
     /** Whether a call that has begun to come is cut off by a reset before its last byte. */
-    public boolean cutsOff() {
-        return drawn(Kind.RESET_BEFORE);
+    public boolean drawRequestReset() {
+        return drawFailure(Kind.RESET_BEFORE);
     }
 
     /** A failure begins here. */
-    public void begin(long now, Failure failure) {
+    public void beginFailure(long now, Failure failure) {
         if (failure.kind() == Kind.CRASH || failure.kind() == Kind.SILENT) {
             advance(now);
         }
-        wrong.computeIfAbsent(failure.kind(), kind -> new ArrayList<>()).add(failure);
+        activeFailures.computeIfAbsent(failure.kind(), kind -> new ArrayList<>()).add(failure);
         if (failure.kind() == Kind.CRASH) {
-            lose();
+            dropAllCalls();
         }
     }
 
     /** A failure is over here. What was an outage leaves a cold receiver behind. */
-    public void end(long now, Failure failure) {
-        List<Failure> same = wrong.get(failure.kind());
+    public void endFailure(long now, Failure failure) {
+        List<Failure> same = activeFailures.get(failure.kind());
         if (same == null || !same.remove(failure)) {
             return;
         }
         if (same.isEmpty()) {
-            wrong.remove(failure.kind());
+            activeFailures.remove(failure.kind());
         }
         switch (failure.kind()) {
             case CRASH, SILENT, HANG, SHUT, ERRORS -> {
-                if (wrong.isEmpty() && !fallen) {
-                    backAt = now;
-                    weighedAt = now;
-                    weight = 0;
+                if (activeFailures.isEmpty() && !collapsed) {
+                    recoveredAtMicros = now;
+                    excessUpdatedAtMicros = now;
+                    excessCalls = 0;
                 }
             }
             default -> { }
         }
         if (failure.kind() == Kind.SILENT) {
-            lose(); // its connections are reset when the machine is back
+            dropAllCalls(); // its connections are reset when the machine is back
         }
-        if (failure.kind() == Kind.HANG && !is(Kind.HANG)) {
-            List<Shot> waiting = List.copyOf(held);
-            held.clear();
-            waiting.forEach(shot -> enter(now, shot));
+        if (failure.kind() == Kind.HANG && !hasFailure(Kind.HANG)) {
+            List<Shot> waiting = List.copyOf(callsReadWhileHung);
+            callsReadWhileHung.clear();
+            waiting.forEach(shot -> admitOrReject(now, shot));
         }
     }
 
     /** It takes no new work any more, and never will again. */
-    public void shut() {
-        shutForGood = true;
+    public void rejectNewCalls() {
+        rejectsNewCalls = true;
     }
 
-    private void lose() {
+    private void dropAllCalls() {
         queue.clear();
-        held.clear();
-        work.clear();
-        busy = 0;
+        callsReadWhileHung.clear();
+        scheduledWork.clear();
+        busyPlaces = 0;
     }
 
     /** A call has come to its last byte. */
-    public void arrived(long now, Shot shot) {
-        if (weigh(now)) {
+    public void callReceived(long now, Shot shot) {
+        if (updateExcessCalls(now)) {
             return;
         }
-        if (is(Kind.HANG)) {
-            held.add(shot);
+        if (hasFailure(Kind.HANG)) {
+            callsReadWhileHung.add(shot);
             return;
         }
-        enter(now, shot);
+        admitOrReject(now, shot);
     }
 
-    private void enter(long now, Shot shot) {
-        long handshake = shot.firstOnConnection ? site.told.handshake().micros() : 0;
-        if (is(Kind.SHUT) || shutForGood) {
-            refuse(now + handshake, shot, 503, 0);
-        } else if (shot.firstOnConnection && connections > site.told.connections()) {
-            add(now + handshake + 200, shot, answer(now, shot, 503, 0, Manner.SHUT_OUT), false);
-        } else if (!allowance.take(now)) {
-            boolean tells = chance.nextDouble() < site.told.limit().tellsWait();
-            long wait = Math.max(site.told.limit().toldWait().micros(), allowance.freeAt(now) - now);
-            refuse(now + handshake, shot, tells ? 429 : 503, tells ? wait : 0);
-        } else if (drawn(Kind.ERRORS)) {
-            add(now + handshake + 500, shot, answer(now, shot, 500, 0, Manner.WHOLE), false);
-        } else if (busy < places(now)) {
-            start(now + handshake, shot);
-        } else if (queue.size() < site.told.queue()) {
+    private void admitOrReject(long now, Shot shot) {
+        long handshake = shot.firstOnConnection ? destination.configuration.handshake().micros() : 0;
+        if (hasFailure(Kind.SHUT) || rejectsNewCalls) {
+            reject(now + handshake, shot, 503, 0);
+        } else if (shot.firstOnConnection && connectionCount > destination.configuration.connections()) {
+            scheduleWork(now + handshake + 200, shot, createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
+        } else if (!rateLimiter.tryAcquire(now)) {
+            boolean tells = random.nextDouble() < destination.configuration.limit().tellsWait();
+            long wait = Math.max(destination.configuration.limit().toldWait().micros(), rateLimiter.nextPermitMicros(now) - now);
+            reject(now + handshake, shot, tells ? 429 : 503, tells ? wait : 0);
+        } else if (drawFailure(Kind.ERRORS)) {
+            scheduleWork(now + handshake + 500, shot, createResponse(now, shot, 500, 0, ResponseMode.COMPLETE), false);
+        } else if (busyPlaces < availablePlaces(now)) {
+            startService(now + handshake, shot);
+        } else if (queue.size() < destination.configuration.queue()) {
             queue.add(shot);
         } else {
-            refuse(now + handshake, shot, 503, 0);
+            reject(now + handshake, shot, 503, 0);
         }
     }
 
     /** The connection of a call has ended: what still waits is dropped, what is at work goes on. */
-    public void gone(Shot shot) {
-        shot.gone = true;
+    public void callerDisconnected(Shot shot) {
+        shot.callerDisconnected = true;
         queue.remove(shot);
-        held.remove(shot);
+        callsReadWhileHung.remove(shot);
     }
 
     /** When something is due next; Long.MAX_VALUE where nothing is. */
-    public long nextDue() {
-        return work.isEmpty() || is(Kind.SILENT) ? Long.MAX_VALUE : work.peek().due;
+    public long nextDueMicros() {
+        return scheduledWork.isEmpty() || hasFailure(Kind.SILENT) ? Long.MAX_VALUE : scheduledWork.peek().dueMicros;
     }
 
     /** Carries out what is due by now. */
     public void advance(long now) {
-        while (nextDue() <= now) {
-            Work done = work.poll();
-            if (done.place) {
-                busy--;
-                while (busy < places(now) && !queue.isEmpty()) {
-                    start(done.due, queue.poll());
+        while (nextDueMicros() <= now) {
+            ScheduledWork done = scheduledWork.poll();
+            if (done.occupiesPlace) {
+                busyPlaces--;
+                while (busyPlaces < availablePlaces(now) && !queue.isEmpty()) {
+                    startService(done.dueMicros, queue.poll());
                 }
             }
-            if (!done.shot.gone) {
-                told.answer(this, done.due, done.answer);
+            if (!done.shot.callerDisconnected) {
+                listener.onResponse(this, done.dueMicros, done.response);
             }
         }
     }
 
-    private void refuse(long at, Shot shot, int status, long wait) {
-        add(at + 200, shot, answer(at, shot, status, wait, Manner.WHOLE), false);
+    private void reject(long at, Shot shot, int status, long wait) {
+        scheduleWork(at + 200, shot, createResponse(at, shot, status, wait, ResponseMode.COMPLETE), false);
     }
 
-    private void start(long at, Shot shot) {
-        busy++;
-        boolean repeat = site.repeats(hall, shot.mark, at);
-        told.ran(this, at, shot, repeat);
+    private void startService(long at, Shot shot) {
+        busyPlaces++;
+        boolean repeat = destination.checkAndRememberDuplicate(hall, shot.idempotencyKey, at);
+        listener.onExecuted(this, at, shot, repeat);
         double slow = 1;
-        for (Failure failure : wrong.getOrDefault(Kind.SLOW, List.of())) {
+        for (Failure failure : activeFailures.getOrDefault(Kind.SLOW, List.of())) {
             slow *= failure.amount();
         }
-        long takes = Math.max(1, Math.round(service.draw() * slow));
-        Manner manner = drawn(Kind.ANSWER_LOST) ? Manner.NOTHING : drawn(Kind.RESET_AFTER) ? Manner.RESET
-                : drawn(Kind.SPOILT) ? chance.nextBoolean() ? Manner.SPOILT_LINE : Manner.SPOILT_REST
-                : drawn(Kind.ENDLESS) ? Manner.ENDLESS : drawn(Kind.DOUBLED) ? Manner.DOUBLED : Manner.WHOLE;
-        add(at + takes, shot, answer(at, shot, 200, 0, manner), true);
+        long takes = Math.max(1, Math.round(serviceTime.sampleMicros() * slow));
+        ResponseMode manner = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
+                : drawFailure(Kind.SPOILT) ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
+                : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
+        scheduleWork(at + takes, shot, createResponse(at, shot, 200, 0, manner), true);
     }
 
-    private void add(long due, Shot shot, Answer answer, boolean place) {
-        work.add(new Work(due, ++numbers, shot, answer, place));
+    private void scheduleWork(long due, Shot shot, Response answer, boolean place) {
+        scheduledWork.add(new ScheduledWork(due, ++lastSequence, shot, answer, place));
     }
 
-    private Answer answer(long now, Shot shot, int status, long wait, Manner manner) {
-        double[] report = site.told.reports() ? new double[] {allowance.left(now), allowance.perSecond()} : NO_REPORT;
-        return new Answer(shot, status, wait, manner, report);
+    private Response createResponse(long now, Shot shot, int status, long wait, ResponseMode manner) {
+        double[] report = destination.configuration.reports() ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
+        return new Response(shot, status, wait, manner, report);
     }
 
     /** The share of its places that it has now: less for a while after an outage. */
-    public double share(long now) {
-        if (backAt == Long.MIN_VALUE) {
+    public double availableShare(long now) {
+        if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warm = Math.min(1, (now - backAt) / (double) Math.max(1, site.told.cold().warm().micros()));
-        return site.told.cold().share() + (1 - site.told.cold().share()) * warm;
+        double warm = Math.min(1, (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
+        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warm;
     }
 
-    private int places(long now) {
-        return Math.max(1, (int) Math.floor(site.told.places() * share(now)));
+    private int availablePlaces(long now) {
+        return Math.max(1, (int) Math.floor(destination.configuration.places() * availableShare(now)));
     }
 
     /** Calls a second that it can carry out now. */
-    public double capacity(long now) {
-        double most = site.told.places() / Math.max(1e-6, site.told.service().mean().seconds());
-        double limit = allowance.perSecond();
-        return (limit > 0 ? Math.min(limit, most) : most) * share(now);
+    public double capacityPerSecond(long now) {
+        double most = destination.configuration.places() / Math.max(1e-6, destination.configuration.service().mean().seconds());
+        double limit = rateLimiter.callsPerSecond();
+        return (limit > 0 ? Math.min(limit, most) : most) * availableShare(now);
     }
 
     /** Rule 4: every call counts, refused ones too; kept above the multiple for the span it falls. True if it has. */
-    private boolean weigh(long now) {
-        if (fallen || backAt == Long.MIN_VALUE || share(now) >= 1) {
-            return fallen;
+    private boolean updateExcessCalls(long now) {
+        if (collapsed || recoveredAtMicros == Long.MIN_VALUE || availableShare(now) >= 1) {
+            return collapsed;
         }
-        double bound = site.told.cold().fallMultiple() * capacity(now);
-        weight = Math.max(0, weight - (now - weighedAt) / 1e6 * bound) + 1;
-        weighedAt = now;
-        if (weight > bound * site.told.cold().fallWithin().seconds() + 2) {
-            fallen = true;
-            lose();
-            told.fell(this, now);
+        double bound = destination.configuration.cold().fallMultiple() * capacityPerSecond(now);
+        excessCalls = Math.max(0, excessCalls - (now - excessUpdatedAtMicros) / 1e6 * bound) + 1;
+        excessUpdatedAtMicros = now;
+        if (excessCalls > bound * destination.configuration.cold().fallWithin().seconds() + 2) {
+            collapsed = true;
+            dropAllCalls();
+            listener.onCollapse(this, now);
         }
-        return fallen;
+        return collapsed;
     }
 
-    private boolean is(Kind kind) {
-        return wrong.containsKey(kind);
+    private boolean hasFailure(Kind kind) {
+        return activeFailures.containsKey(kind);
     }
 
-    private boolean drawn(Kind kind) {
-        for (Iterator<Failure> each = wrong.getOrDefault(kind, List.of()).iterator(); each.hasNext();) {
-            if (chance.nextDouble() < each.next().amount()) {
+    private boolean drawFailure(Kind kind) {
+        for (Iterator<Failure> each = activeFailures.getOrDefault(kind, List.of()).iterator(); each.hasNext();) {
+            if (random.nextDouble() < each.next().amount()) {
                 return true;
             }
         }
--- a/src/main/java/terndyke/lab/model/Answer.java
+++ b/src/main/java/terndyke/lab/model/Response.java
@@ -1,16 +1,16 @@
 package terndyke.lab.model;
 
 /** What goes back for a shot, and how: a wait of 0 is none told, a report of null is none given. */
-public record Answer(Shot shot, int status, long toldWait, Manner manner, double[] report) {
+public record Response(Shot shot, int status, long retryAfterMicros, ResponseMode mode, double[] loadReport) {
 
     /** How an answer is written. */
-    public enum Manner {
-        WHOLE, NOTHING, RESET,
+    public enum ResponseMode {
+        COMPLETE, NO_RESPONSE, RESET,
         /** The first line itself cannot be read. */
-        SPOILT_LINE,
+        MALFORMED_STATUS_LINE,
         /** The first line reads, what follows does not. */
-        SPOILT_REST, ENDLESS, DOUBLED,
+        MALFORMED_HEADERS, ENDLESS_BODY, DUPLICATED,
         /** Whole, and the connection is closed behind it: there are too many. */
-        SHUT_OUT
+        CONNECTION_REJECTED
     }
 }
--- a/src/main/java/terndyke/lab/model/ServiceTime.java
+++ b/src/main/java/terndyke/lab/model/ServiceTime.java
@@ -12,19 +12,19 @@
 
 /** Draws how long a call's work takes, in whole microseconds. */
 public interface ServiceTime {
-    long draw();
+    long sampleMicros();
 
     /** The distribution that an experiment names; spread is the share that varies (shifted), or sigma (lognormal). */
     static ServiceTime of(Service told, UniformRandomProvider chance) {
         double mean = told.mean().micros();
         return switch (told.shape()) {
             case FIXED -> () -> (long) mean;
-            case EXPONENTIAL -> sampled(ExponentialDistribution.of(Math.max(1, mean)), 0, chance);
+            case EXPONENTIAL -> fromDistribution(ExponentialDistribution.of(Math.max(1, mean)), 0, chance);
             case SHIFTED -> {
                 double varies = Math.min(1, told.spread());
-                yield sampled(ExponentialDistribution.of(Math.max(1, mean * varies)), mean * (1 - varies), chance);
+                yield fromDistribution(ExponentialDistribution.of(Math.max(1, mean * varies)), mean * (1 - varies), chance);
             }
-            case LOGNORMAL -> sampled(LogNormalDistribution.of(Math.log(Math.max(1, mean))
+            case LOGNORMAL -> fromDistribution(LogNormalDistribution.of(Math.log(Math.max(1, mean))
                     - told.spread() * told.spread() / 2, told.spread()), 0, chance);
             case SAMPLE -> {
                 List<Span> sample = told.sample();
@@ -33,7 +33,7 @@
         };
     }
 
-    private static ServiceTime sampled(ContinuousDistribution distribution, double shift, UniformRandomProvider chance) {
+    private static ServiceTime fromDistribution(ContinuousDistribution distribution, double shift, UniformRandomProvider chance) {
         ContinuousDistribution.Sampler sampler = distribution.createSampler(chance);
         return () -> Math.round(shift + sampler.sample());
     }
--- a/src/main/java/terndyke/lab/model/Shot.java
+++ b/src/main/java/terndyke/lab/model/Shot.java
@@ -3,17 +3,17 @@
 /** One call as a receiver has it: read to its last byte. Whoever drives the model keeps what it needs behind it. */
 public final class Shot {
     final String id;
-    final String mark;
+    final String idempotencyKey;
     final int node;
-    final Object from;
+    final Object connection;
     final boolean firstOnConnection;
-    boolean gone;
+    boolean callerDisconnected;
 
     public Shot(String id, String mark, int node, Object from, boolean firstOnConnection) {
         this.id = id;
-        this.mark = mark;
+        this.idempotencyKey = mark;
         this.node = node;
-        this.from = from;
+        this.connection = from;
         this.firstOnConnection = firstOnConnection;
     }
 
@@ -21,15 +21,15 @@
         return id;
     }
 
-    public String mark() {
-        return mark;
+    public String idempotencyKey() {
+        return idempotencyKey;
     }
 
     public int node() {
         return node;
     }
 
-    public Object from() {
-        return from;
+    public Object connection() {
+        return connection;
     }
 }
--- a/src/main/java/terndyke/lab/run/Day.java
+++ b/src/main/java/terndyke/lab/run/Day.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-import terndyke.lab.emulate.Agent;
+import terndyke.lab.emulate.DiscoveryAgent;
 import terndyke.lab.emulate.Emulator;
 import terndyke.lab.load.Arrival;
-import terndyke.lab.load.Clients;
-import terndyke.lab.load.Intruders;
+import terndyke.lab.load.EmulatedClients;
+import terndyke.lab.load.MisbehavingClients;
 import terndyke.lab.load.Pacer;
-import terndyke.lab.load.Schedule;
-import terndyke.lab.load.Trace;
+import terndyke.lab.load.ScheduleGenerator;
+import terndyke.lab.load.TraceFile;
 import terndyke.lab.plan.BadInput;
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.Experiment.Effect;
@@ -36,8 +36,8 @@
 import terndyke.lab.referee.Sight;
 import terndyke.lab.referee.Sight.What;
 import terndyke.lab.standin.StandInNode;
-import terndyke.lab.wire.Net;
-import terndyke.lab.wire.Ticker;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
 
 /**
  * Plays one experiment: starts the receivers and the nodes, lets clients and failures come by the schedule, ends all, and
@@ -62,7 +62,7 @@
     private final CountDownLatch interrupted = new CountDownLatch(1);
     private final Pacer pacer = new Pacer();
     private final Object[] commands; // one signal after another for each node
-    private Clients clients;
+    private EmulatedClients clients;
     private volatile boolean ending;
     private int failuresUnderWay;
 
@@ -89,23 +89,23 @@
     public Outcome play() throws IOException, BadInput, InterruptedException {
         List<Arrival> arrivals = arrivals();
         Files.createDirectories(folder);
-        try (Ticker ticker = new Ticker("terndyke-lab-answers");
-                Ticker clientTicker = new Ticker("terndyke-lab-clients");
-                Ticker failureTicker = new Ticker("terndyke-lab-failures");
-                Net receiving = new Net("terndyke-lab-receivers", 2);
-                Net calling = new Net("terndyke-lab-clients", 2);
+        try (TaskScheduler ticker = new TaskScheduler("terndyke-lab-answers");
+                TaskScheduler clientTicker = new TaskScheduler("terndyke-lab-clients");
+                TaskScheduler failureTicker = new TaskScheduler("terndyke-lab-failures");
+                SocketReactor receiving = new SocketReactor("terndyke-lab-receivers", 2);
+                SocketReactor calling = new SocketReactor("terndyke-lab-clients", 2);
                 Emulator emulator = new Emulator(day, logbook, receiving, ticker, true)) {
             FileTime built = builtAt();
             Outcome outcome = play(arrivals, clientTicker, failureTicker, receiving, calling, emulator);
             if (!Objects.equals(built, builtAt())) { // a JVM whose jar is replaced under it fails in any way
                 return outcome.voided("the node's program was replaced while the day was played");
             }
-            for (Ticker each : List.of(ticker, clientTicker, failureTicker)) {
-                if (each.failure() != null) {
+            for (TaskScheduler each : List.of(ticker, clientTicker, failureTicker)) {
+                if (each.firstFailure() != null) {
                     StringWriter trace = new StringWriter();
-                    each.failure().printStackTrace(new PrintWriter(trace));
+                    each.firstFailure().printStackTrace(new PrintWriter(trace));
                     Files.writeString(folder.resolve("laboratory-failure.txt"), trace.toString());
-                    return outcome.voided("the laboratory itself failed: " + each.failure().getMessage());
+                    return outcome.voided("the laboratory itself failed: " + each.firstFailure().getMessage());
                 }
             }
             return outcome;
@@ -121,8 +121,8 @@
     }
 
     private List<Arrival> arrivals() throws BadInput {
-        List<Arrival> arrivals = new ArrayList<>(day.load().trace() == null ? Schedule.of(day)
-                : Trace.read(Path.of(day.load().trace()), day));
+        List<Arrival> arrivals = new ArrayList<>(day.load().trace() == null ? ScheduleGenerator.generate(day)
+                : TraceFile.read(Path.of(day.load().trace()), day));
         int offered = arrivals.size();
         arrivals.removeIf(arrival -> arrival.due() >= day.length().micros());
         if (arrivals.isEmpty() && offered > 0) {
@@ -133,11 +133,11 @@
 
     private record Item(Arrival arrival, boolean extra) { }
 
-    private Outcome play(List<Arrival> arrivals, Ticker clientTicker, Ticker failureTicker, Net receiving, Net calling,
+    private Outcome play(List<Arrival> arrivals, TaskScheduler clientTicker, TaskScheduler failureTicker, SocketReactor receiving, SocketReactor calling,
             Emulator emulator) throws IOException, InterruptedException {
-        long began = Ticker.now();
+        long began = TaskScheduler.nowMicros();
         progress.printf("%s, seed %d: %d nodes, %d receivers, %d records in %s%n", day.name(), day.seed(),
-                day.nodes().count(), emulator.receivers(), arrivals.size(), day.length());
+                day.nodes().count(), emulator.receiverCount(), arrivals.size(), day.length());
         startNodes(emulator, receiving);
         String voided = null;
         for (int node = 0; node < nodes.size() && voided == null; node++) {
@@ -151,49 +151,49 @@
             }
         }
         List<InetSocketAddress> addresses = nodes.stream().map(Subject::listen).toList();
-        clients = new Clients(day, calling, clientTicker, logbook, addresses);
+        clients = new EmulatedClients(day, calling, clientTicker, logbook, addresses);
         Sampler sampler = new Sampler(nodes, emulator);
         if (voided == null) {
-            logbook.startAt(Ticker.now() + 200_000);
+            logbook.startAt(TaskScheduler.nowMicros() + 200_000);
             long start = logbook.start();
-            Intruders intruders = new Intruders(calling, clientTicker, addresses, day.grades().get(0).name(), day.seed());
+            MisbehavingClients intruders = new MisbehavingClients(calling, clientTicker, addresses, day.grades().get(0).name(), day.seed());
             List<Item> items = items(arrivals);
             day.failures().stream().filter(failure -> failure.at().compareTo(day.length()) < 0)
                     .forEach(failure -> plan(failure, start, failureTicker, emulator, intruders));
-            failureTicker.at(start, new Look(sampler, failureTicker, start));
+            failureTicker.schedule(start, new Look(sampler, failureTicker, start));
             int ran = pacer.run(items.size(), i -> (start + items.get(i).arrival.due()) * 1000,
-                    i -> clients.due(i, items.get(i).arrival, start + items.get(i).arrival.due(), items.get(i).extra));
+                    i -> clients.recordDue(i, items.get(i).arrival, start + items.get(i).arrival.due(), items.get(i).extra));
             settle(start);
             if (ran < items.size() || interrupted.getCount() == 0) {
                 voided = "interrupted";
             }
         }
         ending = true;
-        double seconds = (Ticker.now() - logbook.start()) / 1e6;
+        double seconds = (TaskScheduler.nowMicros() - logbook.start()) / 1e6;
         stopNodes();
         if (voided == null && pacer.lateness().getValueAtPercentile(99) > day.late().micros()) {
             voided = String.format("the tool itself was late: 99%% within %.1f ms, %.1f ms at most, %s allowed",
                     pacer.lateness().getValueAtPercentile(99) / 1e3, pacer.lateness().getMaxValue() / 1e3, day.late());
         }
         List<Sight> sights = logbook.all();
-        Referee referee = new Referee(Rules.of(day), Ticker.now() - logbook.start());
-        List<Breach> breaches = voided != null && clients.atTheDoors()[0] == 0 ? List.of() : referee.judge(sights);
+        Referee referee = new Referee(Rules.of(day), TaskScheduler.nowMicros() - logbook.start());
+        List<Breach> breaches = voided != null && clients.handInCounts()[0] == 0 ? List.of() : referee.judge(sights);
         if ("interrupted".equals(voided)) {
             breaches = breaches.stream().filter(breach -> breach.rule() != 1).toList(); // ends that could not come any more
         }
-        progress.printf("over after %.1f s%n", (Ticker.now() - began) / 1e6);
+        progress.printf("over after %.1f s%n", (TaskScheduler.nowMicros() - began) / 1e6);
         return new Outcome(day, standIn != null ? "stand-in " + standIn : jar == null ? "this build" : jar, voided, breaches,
-                sights, List.copyOf(referee.stories()), arrivals.size(), clients.atTheDoors(), clients.fromDue(),
-                clients.fromSent(), pacer.lateness(), sampler.samples(), emulator.receivers(), seconds);
+                sights, List.copyOf(referee.stories()), arrivals.size(), clients.handInCounts(), clients.latencyFromDue(),
+                clients.latencyFromSent(), pacer.lateness(), sampler.samples(), emulator.receiverCount(), seconds);
     }
 
     private final class Look implements Runnable {
         private final Sampler sampler;
-        private final Ticker ticker;
+        private final TaskScheduler ticker;
         private final long start;
         private long looks;
 
-        Look(Sampler sampler, Ticker ticker, long start) {
+        Look(Sampler sampler, TaskScheduler ticker, long start) {
             this.sampler = sampler;
             this.ticker = ticker;
             this.start = start;
@@ -207,11 +207,11 @@
             sampler.look(start);
             looks++;
             if (looks % 6 == 0) {
-                int[] doors = clients.atTheDoors();
-                progress.printf("%6.1f s  %d handed in, %d taken, %d under way%n", (Ticker.now() - start) / 1e6, doors[0],
-                        doors[1], clients.open());
+                int[] doors = clients.handInCounts();
+                progress.printf("%6.1f s  %d handed in, %d taken, %d under way%n", (TaskScheduler.nowMicros() - start) / 1e6, doors[0],
+                        doors[1], clients.openRecordCount());
             }
-            ticker.at(start + looks * LOOK, this);
+            ticker.schedule(start + looks * LOOK, this);
         }
     }
 
@@ -222,7 +222,7 @@
                 .orElse(day.grades().get(0)).name();
         for (Failure failure : day.failures()) {
             if (failure.kind() == Kind.FLOOD) {
-                Intruders.flood(failure, grade, day.tenants().get(0).name(), day.destinationCount()).stream()
+                MisbehavingClients.floodArrivals(failure, grade, day.tenants().get(0).name(), day.destinationCount()).stream()
                         .filter(arrival -> arrival.due() < day.length().micros())
                         .forEach(arrival -> items.add(new Item(arrival, true)));
             }
@@ -231,19 +231,19 @@
         return items;
     }
 
-    private void startNodes(Emulator emulator, Net net) throws IOException {
+    private void startNodes(Emulator emulator, SocketReactor net) throws IOException {
         for (int node = 0; node < day.nodes().count(); node++) {
             int number = node;
-            Agent agent = emulator.agents().get(node);
+            DiscoveryAgent agent = emulator.agents().get(node);
             if (standIn != null) {
-                nodes.add(new StandInNode(Net.free("127.0.0.1"), net, NodeFile.of(day, node, day.seed(),
-                        new InetSocketAddress("127.0.0.1", 1), agent.address(), agent.whole()), standIn));
+                nodes.add(new StandInNode(SocketReactor.findFreeAddress("127.0.0.1"), net, NodeFile.of(day, node, day.seed(),
+                        new InetSocketAddress("127.0.0.1", 1), agent.address(), agent.fullListJson()), standIn));
             } else {
                 Path own = folder.resolve("n" + node);
                 Files.createDirectories(own);
-                InetSocketAddress listen = Net.free("127.0." + (10 + node) + ".3");
+                InetSocketAddress listen = SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3");
                 nodes.add(new NodeProcess(own, listen, NodeProcess.program(jar),
-                        () -> NodeFile.of(day, number, day.seed() * 1000 + number, listen, agent.address(), agent.whole()),
+                        () -> NodeFile.of(day, number, day.seed() * 1000 + number, listen, agent.address(), agent.fullListJson()),
                         day.nodes().diskMb()));
             }
             see(What.NODE_STARTS, node, null);
@@ -260,16 +260,16 @@
     }
 
     private void see(What what, int node, String note) {
-        logbook.add(Sight.process(Ticker.now(), what, node, note));
+        logbook.add(Sight.process(TaskScheduler.nowMicros(), what, node, note));
     }
 
     private synchronized void underWay(int change) {
         failuresUnderWay += change;
     }
 
-    private void plan(Failure failure, long start, Ticker ticker, Emulator emulator, Intruders intruders) {
+    private void plan(Failure failure, long start, TaskScheduler ticker, Emulator emulator, MisbehavingClients intruders) {
         underWay(1);
-        ticker.at(start + failure.at().micros(), () -> {
+        ticker.schedule(start + failure.at().micros(), () -> {
             progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().told(), failure.lasts());
             if (failure.kind().side() == Side.NODE) {
                 for (int node = 0; node < nodes.size(); node++) {
@@ -285,25 +285,25 @@
                     }
                 }
             } else if (failure.kind().side() == Side.CLIENT) {
-                intruders.begin(failure, start + failure.until());
+                intruders.beginFailure(failure, start + failure.until());
                 if (failure.kind() == Kind.FOREIGN_IDS) {
-                    clients.foreign(intruders, failure.amount());
+                    clients.setForeignRequestShare(intruders, failure.amount());
                 }
             } else {
-                emulator.begin(failure);
+                emulator.beginFailure(failure);
             }
         });
-        ticker.at(start + failure.until(), () -> {
+        ticker.schedule(start + failure.until(), () -> {
             if (failure.kind().side() == Side.RECEIVER || failure.kind().side() == Side.DISCOVERY) {
-                emulator.end(failure);
+                emulator.endFailure(failure);
             } else if (failure.kind() == Kind.FOREIGN_IDS) {
-                clients.foreign(intruders, 0);
+                clients.setForeignRequestShare(intruders, 0);
             }
             underWay(-1);
         });
     }
 
-    private void strike(Failure failure, int node, Agent agent) {
+    private void strike(Failure failure, int node, DiscoveryAgent agent) {
         Subject subject = nodes.get(node);
         try {
             synchronized (commands[node]) {
@@ -321,7 +321,7 @@
                         see(What.NODE_TERM, node, null);
                         subject.signal("TERM");
                         boolean ended = subject.awaitEnd(PLANNED);
-                        clients.away(node, true); // a planned restart is told to the front
+                        clients.setNodeUnavailable(node, true); // a planned restart is told to the front
                         if (!ended && !subject.awaitEnd(TERM_GRACE - PLANNED)) {
                             see(What.NODE_KILLED, node, "did not end after SIGTERM");
                             subject.signal("KILL");
@@ -337,7 +337,7 @@
                     case RELOAD -> {
                         int times = Math.max(1, (int) Math.round(failure.amount()));
                         for (int i = 0; i < times && !ending; i++) {
-                            agent.move();
+                            agent.moveToNewAddress();
                             subject.reconfigure();
                             subject.signal("HUP");
                             Thread.sleep(failure.lasts().millis() / times);
@@ -370,7 +370,7 @@
         Subject subject = nodes.get(node);
         see(What.NODE_ENDED, node, null);
         Thread.sleep(Math.min(downMillis, NOTICED / 1000));
-        clients.away(node, true);
+        clients.setNodeUnavailable(node, true);
         Thread.sleep(Math.max(0, downMillis - NOTICED / 1000));
         if (ending) {
             return;
@@ -379,7 +379,7 @@
         subject.start();
         if (subject.awaitReady(READY)) {
             see(What.NODE_READY, node, null);
-            clients.away(node, false);
+            clients.setNodeUnavailable(node, false);
         } else {
             see(What.NODE_CRASHED, node, "did not serve again: " + lastWords(node));
         }
@@ -389,8 +389,8 @@
     private void settle(long start) throws InterruptedException {
         long longest = day.grades().stream().mapToLong(grade -> grade.abandon().micros()).max().orElse(0);
         long last = start + day.length().micros() + longest + OVERDUE + day.settle().micros();
-        while (Ticker.now() < last && interrupted.getCount() > 0) {
-            if (Ticker.now() > start + day.length().micros() && clients.open() == 0 && quiet() && logbook.allEnded()) {
+        while (TaskScheduler.nowMicros() < last && interrupted.getCount() > 0) {
+            if (TaskScheduler.nowMicros() > start + day.length().micros() && clients.openRecordCount() == 0 && quiet() && logbook.allEnded()) {
                 interrupted.await(day.settle().micros(), TimeUnit.MICROSECONDS);
                 return;
             }
--- a/src/main/java/terndyke/lab/run/NodeFile.java
+++ b/src/main/java/terndyke/lab/run/NodeFile.java
@@ -8,12 +8,12 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-import terndyke.lab.emulate.Agent;
+import terndyke.lab.emulate.DiscoveryAgent;
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.Experiment.Effect;
 import terndyke.lab.plan.Experiment.Grade;
 import terndyke.lab.plan.Experiment.Tenant;
-import terndyke.lab.wire.Net;
+import terndyke.lab.wire.SocketReactor;
 
 /** Writes a node's configuration in the platform's form: what an experiment says, in the words that a node reads. */
 public final class NodeFile {
@@ -22,8 +22,8 @@
     private NodeFile() { }
 
     /** For a node that somebody else starts beside an emulator. */
-    public static String of(Experiment day, int node, Agent agent) throws IOException {
-        return of(day, node, day.seed() * 1000 + node, Net.free("127.0." + (10 + node) + ".3"), agent.address(), agent.whole());
+    public static String of(Experiment day, int node, DiscoveryAgent agent) throws IOException {
+        return of(day, node, day.seed() * 1000 + node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3"), agent.address(), agent.fullListJson());
     }
 
     static String of(Experiment day, int node, long seed, InetSocketAddress listen, InetSocketAddress agent, String known) {
--- a/src/main/java/terndyke/lab/run/Sampler.java
+++ b/src/main/java/terndyke/lab/run/Sampler.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 
 import terndyke.lab.emulate.Emulator;
-import terndyke.lab.wire.Ticker;
+import terndyke.lab.wire.TaskScheduler;
 
 /** Measures the nodes' processes and the receivers' load at steady times, from outside. */
 public final class Sampler {
@@ -31,7 +31,7 @@
     }
 
     synchronized void look(long start) {
-        long now = Ticker.now();
+        long now = TaskScheduler.nowMicros();
         int count = nodes.size();
         double[] memory = new double[count];
         double[] cores = new double[count];
@@ -59,7 +59,7 @@
             }
         }
         lastAt = now;
-        int[][] load = emulator.inHand();
+        int[][] load = emulator.loadByDestination();
         int[] inHand = new int[load.length];
         int[] connections = new int[load.length];
         for (int i = 0; i < load.length; i++) {
--- /dev/null
+++ b/src/main/java/terndyke/lab/standin/KnownDelayServer.java
@@ -0,0 +1,68 @@
+package terndyke.lab.standin;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.function.LongUnaryOperator;
+
+import org.HdrHistogram.Histogram;
+import org.apache.hc.core5.io.CloseMode;
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.reactor.ListenerEndpoint;
+
+import terndyke.lab.wire.RawHttpConnection;
+import terndyke.lab.wire.RawHttpMessage;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
+
+/** Answers every request with 200 after a delay that is known beforehand: what a load tool is checked against. */
+public final class KnownDelayServer implements AutoCloseable {
+    private static final byte[] OK_RESPONSE = RawHttpMessage.encode("HTTP/1.1 200 -", "", new byte[0]);
+
+    private final ListenerEndpoint listener;
+    private final LongUnaryOperator responseTime;
+    private final TaskScheduler scheduler;
+    private final Histogram serverDelays = new Histogram(1, 600_000_000L, 3);
+
+    /** @param answerAt when a request that came at a time is answered, both in microseconds; the same time is at once */
+    public KnownDelayServer(InetSocketAddress address, SocketReactor net, TaskScheduler ticker, LongUnaryOperator answerAt) throws IOException {
+        this.responseTime = answerAt;
+        this.scheduler = ticker;
+        listener = net.listen(address, ServerConnection::new);
+    }
+
+    /** How long it really took from a request's last byte to its answer, in microseconds: no clock is exact. */
+    public Histogram serverDelays() {
+        synchronized (serverDelays) {
+            return serverDelays.copy();
+        }
+    }
+
+    @Override
+    public void close() {
+        listener.close(CloseMode.IMMEDIATE);
+    }
+
+    private final class ServerConnection extends RawHttpConnection {
+        ServerConnection(IOSession session) {
+            super(session);
+        }
+
+        @Override
+        protected void onMessage(RawHttpMessage message) {
+            long now = TaskScheduler.nowMicros();
+            long at = responseTime.applyAsLong(now);
+            if (at <= now) {
+                write(OK_RESPONSE);
+            } else {
+                scheduler.schedule(at, () -> sendResponse(now));
+            }
+        }
+
+        private void sendResponse(long came) {
+            synchronized (serverDelays) {
+                serverDelays.recordValue(Math.max(1, TaskScheduler.nowMicros() - came));
+            }
+            write(OK_RESPONSE);
+        }
+    }
+}
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -22,10 +22,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 import terndyke.lab.run.Subject;
-import terndyke.lab.wire.Link;
-import terndyke.lab.wire.Message;
-import terndyke.lab.wire.Net;
-import terndyke.lab.wire.Ticker;
+import terndyke.lab.wire.RawHttpConnection;
+import terndyke.lab.wire.RawHttpMessage;
+import terndyke.lab.wire.SocketReactor;
+import terndyke.lab.wire.TaskScheduler;
 
 /**
  * A plain node that keeps the rules, or breaks just one of them on purpose: the referee has to be able to fail. It keeps
@@ -50,29 +50,29 @@
     }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final byte[] NOTHING = new byte[0];
-    private static final long REST = 250_000;
-    private static final long CALL = 1_500_000;
-    private static final long WARM = 4_000_000;
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final long BACKOFF_MICROS = 250_000;
+    private static final long CALL_TIMEOUT_MICROS = 1_500_000;
+    private static final long WARM_UP_MICROS = 4_000_000;
 
-    private final InetSocketAddress listen;
-    private final Net net;
+    private final InetSocketAddress listenAddress;
+    private final SocketReactor reactor;
     private final Fault fault;
-    private final Ticker ticker = new Ticker("terndyke-lab-stand-in");
-    private final InetSocketAddress agent;
+    private final TaskScheduler scheduler = new TaskScheduler("terndyke-lab-stand-in");
+    private final InetSocketAddress agentAddress;
     private final boolean[] inOrder;
     private final String[] semantics;
-    private final List<String> grades = new ArrayList<>();
+    private final List<String> gradeNames = new ArrayList<>();
     private final int slots;
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    private final Map<Integer, Long> rests = new HashMap<>();
-    private final Map<String, ArrayDeque<Owed>> keys = new HashMap<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final Map<Integer, Long> waitUntilByDestination = new HashMap<>();
+    private final Map<String, ArrayDeque<PendingRecord>> waitingByKey = new HashMap<>();
+    private final CountDownLatch endLatch = new CountDownLatch(1);
     private final List<ListenerEndpoint> listeners = new ArrayList<>();
-    private long rev;
-    private long taken;
-    private int out;
-    private boolean going;
+    private long revision;
+    private long acceptedCount;
+    private int callsOut;
+    private boolean stopping;
 
     private static final class Endpoint {
         String uid;
@@ -80,54 +80,54 @@
         String hall;
         int destination;
         boolean active;
-        long restUntil;
-        long failedAt = Long.MIN_VALUE / 2;
+        long backoffUntilMicros;
+        long failedAtMicros = Long.MIN_VALUE / 2;
     }
 
-    private static final class Owed {
+    private static final class PendingRecord {
         String id;
         String key;
-        String mark;
+        String idempotencyKey;
         int grade;
         int destination;
-        long ends;
+        long deadlineMicros;
         byte[] body;
-        boolean mayHaveRun;
+        boolean mayHaveExecuted;
         String hall;
-        int turn;
+        int nextEndpointIndex;
     }
 
     /** @param file a node's configuration in the platform's form */
-    public StandInNode(InetSocketAddress listen, Net net, String file, Fault fault) throws IOException {
-        this.listen = listen;
-        this.net = net;
+    public StandInNode(InetSocketAddress listen, SocketReactor net, String file, Fault fault) throws IOException {
+        this.listenAddress = listen;
+        this.reactor = net;
         this.fault = fault;
         JsonNode told = JSON.readTree(file);
-        agent = address(told.path("discovery").asText());
+        agentAddress = parseAddress(told.path("discovery").asText());
         JsonNode classes = told.path("settings").path("classes");
         inOrder = new boolean[classes.size()];
         semantics = new String[classes.size()];
         for (int i = 0; i < inOrder.length; i++) {
-            grades.add(classes.get(i).path("name").asText());
+            gradeNames.add(classes.get(i).path("name").asText());
             inOrder[i] = classes.get(i).path("serialByKey").asBoolean();
             semantics[i] = classes.get(i).path("semantics").asText();
         }
         slots = told.path("settings").path("familyInfo").path("callsOut").asInt();
-        list(told.path("known"));
+        applyList(told.path("known"));
     }
 
-    private static InetSocketAddress address(String text) throws IOException {
+    private static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private synchronized void list(JsonNode told) throws IOException {
-        rev = told.path("rev").asLong();
+    private synchronized void applyList(JsonNode told) throws IOException {
+        revision = told.path("rev").asLong();
         for (JsonNode one : told.path("targets")) {
             Endpoint endpoint = endpoints.computeIfAbsent(one.path("uid").asText(), uid -> new Endpoint());
             endpoint.uid = one.path("uid").asText();
-            endpoint.address = address(one.path("endpoint").asText());
+            endpoint.address = parseAddress(one.path("endpoint").asText());
             endpoint.hall = one.path("az").asText();
             endpoint.destination = one.path("pod_group").asInt();
             endpoint.active = one.path("state").asText().equals("active") || fault == Fault.IGNORES_DRAINS;
@@ -136,17 +136,17 @@
 
     @Override
     public InetSocketAddress listen() {
-        return listen;
+        return listenAddress;
     }
 
     @Override
     public void start() throws IOException {
-        listeners.add(net.listen(listen, Client::new));
-        watch();
+        listeners.add(reactor.listen(listenAddress, ClientConnection::new));
+        startWatch();
     }
 
-    private void watch() {
-        net.connect(agent, CALL, Watch::new, () -> ticker.at(Ticker.now() + REST, this::watch));
+    private void startWatch() {
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, WatchConnection::new, () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, this::startWatch));
     }
 
     @Override
@@ -163,12 +163,12 @@
 
     @Override
     public boolean awaitEnd(long patienceMillis) throws InterruptedException {
-        return ended.await(patienceMillis, TimeUnit.MILLISECONDS);
+        return endLatch.await(patienceMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public boolean running() {
-        return ended.getCount() > 0;
+        return endLatch.getCount() > 0;
     }
 
     @Override
@@ -184,261 +184,261 @@
 
     @Override
     public synchronized void destroy() {
-        going = true;
+        stopping = true;
         listeners.forEach(listener -> listener.close(CloseMode.IMMEDIATE));
-        ticker.close();
-        ended.countDown();
+        scheduler.close();
+        endLatch.countDown();
     }
 
-    private void taken(Owed owed) {
-        taken++;
-        if (fault == Fault.LOSES && taken % 10 == 0 && owed.key == null) {
+    private void acceptRecord(PendingRecord owed) {
+        acceptedCount++;
+        if (fault == Fault.LOSES && acceptedCount % 10 == 0 && owed.key == null) {
             return;
         }
         if (inOrder[owed.grade] && owed.key != null && fault != Fault.DISORDERS) {
-            ArrayDeque<Owed> waiting = keys.get(owed.key);
+            ArrayDeque<PendingRecord> waiting = waitingByKey.get(owed.key);
             if (waiting != null) {
                 waiting.add(owed);
                 return;
             }
-            keys.put(owed.key, new ArrayDeque<>());
+            waitingByKey.put(owed.key, new ArrayDeque<>());
         }
-        go(owed);
+        sendOrWait(owed);
     }
 
     /** Sends a record if it may be sent now, or says when to come again. */
-    private synchronized void go(Owed owed) {
-        long now = Ticker.now();
-        if (going) {
+    private synchronized void sendOrWait(PendingRecord owed) {
+        long now = TaskScheduler.nowMicros();
+        if (stopping) {
             return;
         }
-        if (now > owed.ends - 60_000 || owed.mayHaveRun && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
-            end(owed, "dead");
+        if (now > owed.deadlineMicros - 60_000 || owed.mayHaveExecuted && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
+            sendNotice(owed, "dead");
             return;
         }
-        Endpoint endpoint = pick(owed, now);
-        if (endpoint == null || out >= slots) {
-            ticker.at(now + 20_000, () -> go(owed));
+        Endpoint endpoint = chooseEndpoint(owed, now);
+        if (endpoint == null || callsOut >= slots) {
+            scheduler.schedule(now + 20_000, () -> sendOrWait(owed));
             return;
         }
-        out++;
-        pace(endpoint, now);
-        net.connect(endpoint.address, 500_000, session -> new Shot(session, owed, endpoint), () -> {
+        callsOut++;
+        limitRateWhileWarmingUp(endpoint, now);
+        reactor.connect(endpoint.address, 500_000, session -> new ShotConnection(session, owed, endpoint), () -> {
             synchronized (this) {
-                out--;
-                rest(endpoint, Ticker.now());
-                ticker.at(Ticker.now() + 50_000, () -> go(owed));
+                callsOut--;
+                backOff(endpoint, TaskScheduler.nowMicros());
+                scheduler.schedule(TaskScheduler.nowMicros() + 50_000, () -> sendOrWait(owed));
             }
         });
     }
 
-    private void rest(Endpoint endpoint, long now) {
-        endpoint.restUntil = now + REST;
-        endpoint.failedAt = now;
+    private void backOff(Endpoint endpoint, long now) {
+        endpoint.backoffUntilMicros = now + BACKOFF_MICROS;
+        endpoint.failedAtMicros = now;
     }
 
     /** After a failure a receiver gets a call now and then until it has warmed up. */
-    private void pace(Endpoint endpoint, long now) {
-        if (now < endpoint.failedAt + WARM && fault != Fault.PUSHES) {
-            endpoint.restUntil = now + REST;
+    private void limitRateWhileWarmingUp(Endpoint endpoint, long now) {
+        if (now < endpoint.failedAtMicros + WARM_UP_MICROS && fault != Fault.PUSHES) {
+            endpoint.backoffUntilMicros = now + BACKOFF_MICROS;
         }
     }
 
-    private Endpoint pick(Owed owed, long now) {
-        if (rests.getOrDefault(owed.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
+    private Endpoint chooseEndpoint(PendingRecord owed, long now) {
+        if (waitUntilByDestination.getOrDefault(owed.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
             return null;
         }
         List<Endpoint> open = endpoints.values().stream().filter(endpoint -> endpoint.destination == owed.destination
-                && endpoint.active && endpoint.restUntil <= now
-                && (!owed.mayHaveRun || !semantics[owed.grade].equals("dedup") || endpoint.hall.equals(owed.hall))).toList();
-        return open.isEmpty() ? null : open.get(Math.floorMod(owed.turn++, open.size()));
+                && endpoint.active && endpoint.backoffUntilMicros <= now
+                && (!owed.mayHaveExecuted || !semantics[owed.grade].equals("dedup") || endpoint.hall.equals(owed.hall))).toList();
+        return open.isEmpty() ? null : open.get(Math.floorMod(owed.nextEndpointIndex++, open.size()));
     }
 
-    private void end(Owed owed, String result) {
-        net.connect(agent, CALL, session -> new Notice(session, owed, result),
-                () -> ticker.at(Ticker.now() + REST, () -> end(owed, result)));
+    private void sendNotice(PendingRecord owed, String result) {
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, session -> new NoticeConnection(session, owed, result),
+                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(owed, result)));
     }
 
-    private synchronized void over(Owed owed, boolean quiet) {
+    private synchronized void releaseNextOfKey(PendingRecord owed, boolean quiet) {
         if (owed.key == null || !inOrder[owed.grade] || fault == Fault.DISORDERS) {
             return;
         }
-        Owed next = keys.get(owed.key).poll();
+        PendingRecord next = waitingByKey.get(owed.key).poll();
         if (next == null) {
-            keys.remove(owed.key);
+            waitingByKey.remove(owed.key);
         } else {
-            ticker.at(Ticker.now() + (quiet ? 200_000 : 0), () -> go(next));
+            scheduler.schedule(TaskScheduler.nowMicros() + (quiet ? 200_000 : 0), () -> sendOrWait(next));
         }
     }
 
     /** A client's connection. */
-    private final class Client extends Link {
-        Client(IOSession session) {
+    private final class ClientConnection extends RawHttpConnection {
+        ClientConnection(IOSession session) {
             super(session);
         }
 
         @Override
-        protected void came(Message message) {
-            int grade = grades.indexOf(message.target().substring(1));
-            String destination = message.field("x-consignee");
+        protected void onMessage(RawHttpMessage message) {
+            int grade = gradeNames.indexOf(message.target().substring(1));
+            String destination = message.header("x-consignee");
             if (grade < 0 || destination == null) {
-                write(Message.bytes("HTTP/1.1 400 -", "", NOTHING));
+                write(RawHttpMessage.encode("HTTP/1.1 400 -", "", EMPTY_BODY));
                 return;
             }
-            Owed owed = new Owed();
-            owed.id = message.field("request-id");
-            String cookie = message.field("cookie");
+            PendingRecord owed = new PendingRecord();
+            owed.id = message.header("request-id");
+            String cookie = message.header("cookie");
             owed.key = cookie == null ? null : cookie.substring(cookie.indexOf('=') + 1);
-            owed.mark = message.field("idempotency-key");
+            owed.idempotencyKey = message.header("idempotency-key");
             owed.grade = grade;
             owed.destination = Integer.parseInt(destination.substring(destination.indexOf('=') + 1));
-            owed.ends = Ticker.now() + Long.parseLong(message.field("request-timeout-ms")) * 1000;
+            owed.deadlineMicros = TaskScheduler.nowMicros() + Long.parseLong(message.header("request-timeout-ms")) * 1000;
             owed.body = message.body();
-            write(Message.bytes("HTTP/1.1 202 -", "", NOTHING));
+            write(RawHttpMessage.encode("HTTP/1.1 202 -", "", EMPTY_BODY));
             synchronized (StandInNode.this) {
-                taken(owed);
+                acceptRecord(owed);
             }
         }
     }
 
     /** One call on a connection of its own. */
-    private final class Shot extends Link {
-        private final Owed owed;
+    private final class ShotConnection extends RawHttpConnection {
+        private final PendingRecord pendingRecord;
         private final Endpoint endpoint;
         private boolean answered;
 
-        Shot(IOSession session, Owed owed, Endpoint endpoint) {
+        ShotConnection(IOSession session, PendingRecord owed, Endpoint endpoint) {
             super(session);
-            this.owed = owed;
+            this.pendingRecord = owed;
             this.endpoint = endpoint;
         }
 
         @Override
-        protected void opened() {
+        protected void onOpen() {
             synchronized (StandInNode.this) {
-                boolean waits = rests.getOrDefault(owed.destination, 0L) > Ticker.now() && fault != Fault.IGNORES_WAITS;
+                boolean waits = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros() && fault != Fault.IGNORES_WAITS;
                 if (waits || !endpoint.active) { // told while the connection came up
                     answered = true;
-                    out--;
-                    ticker.at(Ticker.now() + 20_000, () -> go(owed));
+                    callsOut--;
+                    scheduler.schedule(TaskScheduler.nowMicros() + 20_000, () -> sendOrWait(pendingRecord));
                     reset();
                     return;
                 }
             }
-            String mark = owed.mark == null ? "" : "Idempotency-Key: " + owed.mark + "\r\n";
-            write(Message.bytes("POST /events HTTP/1.1", "Host: x\r\nRequest-Id: " + owed.id + "\r\n" + mark
-                    + "Request-Timeout-Ms: 1500\r\n", owed.body));
-            ticker.at(Ticker.now() + CALL, this::reset);
+            String mark = pendingRecord.idempotencyKey == null ? "" : "Idempotency-Key: " + pendingRecord.idempotencyKey + "\r\n";
+            write(RawHttpMessage.encode("POST /events HTTP/1.1", "Host: x\r\nRequest-Id: " + pendingRecord.id + "\r\n" + mark
+                    + "Request-Timeout-Ms: 1500\r\n", pendingRecord.body));
+            scheduler.schedule(TaskScheduler.nowMicros() + CALL_TIMEOUT_MICROS, this::reset);
         }
 
         @Override
-        protected void came(Message message) {
+        protected void onMessage(RawHttpMessage message) {
             synchronized (StandInNode.this) {
                 if (answered) {
                     return;
                 }
                 answered = true;
-                out--;
-                long now = Ticker.now();
+                callsOut--;
+                long now = TaskScheduler.nowMicros();
                 switch (message.status()) {
-                    case 200 -> over(owed, false);
+                    case 200 -> releaseNextOfKey(pendingRecord, false);
                     case 429, 503 -> {
-                        String told = message.field("retry-after");
+                        String told = message.header("retry-after");
                         if (told != null) {
-                            rests.merge(owed.destination, now + Math.round(Double.parseDouble(told) * 1e6) + 20_000,
+                            waitUntilByDestination.merge(pendingRecord.destination, now + Math.round(Double.parseDouble(told) * 1e6) + 20_000,
                                     Math::max);
                         } else {
-                            rest(endpoint, now);
+                            backOff(endpoint, now);
                         }
-                        ticker.at(now + 50_000, () -> go(owed));
+                        scheduler.schedule(now + 50_000, () -> sendOrWait(pendingRecord));
                     }
-                    default -> failed();
+                    default -> handleFailure();
                 }
             }
             reset();
         }
 
-        private void failed() {
-            owed.mayHaveRun = true;
-            owed.hall = endpoint.hall;
-            rest(endpoint, Ticker.now());
-            ticker.at(Ticker.now() + 150_000, () -> go(owed));
+        private void handleFailure() {
+            pendingRecord.mayHaveExecuted = true;
+            pendingRecord.hall = endpoint.hall;
+            backOff(endpoint, TaskScheduler.nowMicros());
+            scheduler.schedule(TaskScheduler.nowMicros() + 150_000, () -> sendOrWait(pendingRecord));
         }
 
         @Override
-        protected void ended() {
+        protected void onClosed() {
             synchronized (StandInNode.this) {
                 if (!answered) {
                     answered = true;
-                    out--;
-                    failed();
+                    callsOut--;
+                    handleFailure();
                 }
             }
         }
     }
 
     /** A notice on a connection of its own. */
-    private final class Notice extends Link {
-        private final Owed owed;
+    private final class NoticeConnection extends RawHttpConnection {
+        private final PendingRecord pendingRecord;
         private final String result;
-        private boolean told;
+        private boolean acknowledged;
 
-        Notice(IOSession session, Owed owed, String result) {
+        NoticeConnection(IOSession session, PendingRecord owed, String result) {
             super(session);
-            this.owed = owed;
+            this.pendingRecord = owed;
             this.result = result;
         }
 
         @Override
-        protected void opened() {
-            write(Message.bytes("POST /v2/finals HTTP/1.1", "Host: x\r\n", String.format(Locale.ROOT,
-                    "{\"ref\":\"%s\",\"result\":\"%s\"}%n", owed.id, result).getBytes(StandardCharsets.UTF_8)));
+        protected void onOpen() {
+            write(RawHttpMessage.encode("POST /v2/finals HTTP/1.1", "Host: x\r\n", String.format(Locale.ROOT,
+                    "{\"ref\":\"%s\",\"result\":\"%s\"}%n", pendingRecord.id, result).getBytes(StandardCharsets.UTF_8)));
         }
 
         @Override
-        protected void came(Message message) {
-            told = message.status() == 204;
+        protected void onMessage(RawHttpMessage message) {
+            acknowledged = message.status() == 204;
             reset();
-            if (told) {
-                over(owed, owed.mayHaveRun);
+            if (acknowledged) {
+                releaseNextOfKey(pendingRecord, pendingRecord.mayHaveExecuted);
             }
         }
 
         @Override
-        protected void ended() {
-            if (!told) {
-                ticker.at(Ticker.now() + REST, () -> end(owed, result));
+        protected void onClosed() {
+            if (!acknowledged) {
+                scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(pendingRecord, result));
             }
         }
     }
 
     /** The watch on discovery. */
-    private final class Watch extends Link {
-        Watch(IOSession session) {
+    private final class WatchConnection extends RawHttpConnection {
+        WatchConnection(IOSession session) {
             super(session);
         }
 
         @Override
-        protected void opened() {
-            write(("GET /catalog/members?after=" + rev + "&wait_ms=20000 HTTP/1.1\r\nHost: x\r\n\r\n")
+        protected void onOpen() {
+            write(("GET /catalog/members?after=" + revision + "&wait_ms=20000 HTTP/1.1\r\nHost: x\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
         }
 
         @Override
-        protected void came(Message message) {
+        protected void onMessage(RawHttpMessage message) {
             try {
-                list(JSON.readTree(message.body()));
+                applyList(JSON.readTree(message.body()));
             } catch (IOException e) {
                 reset();
                 return;
             }
-            opened();
+            onOpen();
         }
 
         @Override
-        protected void ended() {
-            if (!going) {
-                ticker.at(Ticker.now() + REST, StandInNode.this::watch);
+        protected void onClosed() {
+            if (!stopping) {
+                scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, StandInNode.this::startWatch);
             }
         }
     }
--- a/src/main/java/terndyke/lab/wire/Link.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpConnection.java
@@ -24,43 +24,43 @@
  * no library would, and to know when a first and a last byte came or left. Reading goes on in the I/O thread; writing is
  * safe from any.
  */
-public abstract class Link implements IOEventHandler {
-    private static final int MOST = 1 << 20;
-    private static final int LINE = 16 << 10;
+public abstract class RawHttpConnection implements IOEventHandler {
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
 
     private final IOSession session;
-    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuffer> unsentBuffers = new ArrayDeque<>();
     private byte[] buffer = new byte[2 << 10];
-    private int from;
-    private int to;
-    private boolean begun;
-    private boolean deaf;
-    private boolean over;
+    private int readPosition;
+    private int writePosition;
+    private boolean messageStarted;
+    private boolean readingStopped;
+    private boolean closed;
 
-    protected Link(IOSession session) {
+    protected RawHttpConnection(IOSession session) {
         this.session = session;
     }
 
     /** The connection is there. */
-    protected void opened() { }
+    protected void onOpen() { }
 
     /** The first byte of a message has come. */
-    protected void begins() { }
+    protected void onMessageStart() { }
 
     /** A message has come whole. */
-    protected abstract void came(Message message);
+    protected abstract void onMessage(RawHttpMessage message);
 
     /** What came cannot be read. */
-    protected void unreadable(String why) {
+    protected void onMalformedInput(String why) {
         reset();
     }
 
     /** The connection is over, whoever ended it; told once. */
-    protected void ended() { }
+    protected void onClosed() { }
 
     /** Answers what cannot be read, and ends the connection in good order. */
-    protected final void turnDown() {
-        write(Message.bytes("HTTP/1.1 400 -", "Connection: close\r\n", new byte[0]));
+    protected final void sendBadRequestAndClose() {
+        write(RawHttpMessage.encode("HTTP/1.1 400 -", "Connection: close\r\n", new byte[0]));
         close();
     }
 
@@ -73,11 +73,11 @@
         session.getLock().lock();
         try {
             ByteBuffer rest = ByteBuffer.wrap(bytes);
-            if (unsent.isEmpty()) {
+            if (unsentBuffers.isEmpty()) {
                 session.write(rest);
             }
             if (rest.hasRemaining()) {
-                unsent.add(rest);
+                unsentBuffers.add(rest);
                 session.setEvent(SelectionKey.OP_WRITE);
             }
         } catch (IOException | RuntimeException e) {
@@ -88,10 +88,10 @@
     }
 
     /** Bytes that the other side has not taken yet. */
-    public int unsent() {
+    public int unsentBytes() {
         session.getLock().lock();
         try {
-            return unsent.stream().mapToInt(ByteBuffer::remaining).sum();
+            return unsentBuffers.stream().mapToInt(ByteBuffer::remaining).sum();
         } finally {
             session.getLock().unlock();
         }
@@ -108,28 +108,28 @@
     }
 
     /** Reads nothing any more; what comes stays in the kernel. */
-    public void deafen() {
-        deaf = true;
+    public void stopReading() {
+        readingStopped = true;
         session.clearEvent(SelectionKey.OP_READ);
     }
 
     @Override
     public void connected(IOSession one) {
         one.setEventMask(SelectionKey.OP_READ);
-        opened();
+        onOpen();
     }
 
     @Override
     public void inputReady(IOSession one, ByteBuffer first) throws IOException {
-        if (deaf) {
+        if (readingStopped) {
             one.clearEvent(SelectionKey.OP_READ);
             return;
         }
         while (true) {
-            if (to == buffer.length) {
-                makeRoom();
+            if (writePosition == buffer.length) {
+                ensureBufferSpace();
             }
-            int read = one.read(ByteBuffer.wrap(buffer, to, buffer.length - to));
+            int read = one.read(ByteBuffer.wrap(buffer, writePosition, buffer.length - writePosition));
             if (read < 0) {
                 one.close(CloseMode.GRACEFUL);
                 return;
@@ -137,45 +137,45 @@
             if (read == 0) {
                 return;
             }
-            if (!begun) {
-                begun = true;
-                begins();
+            if (!messageStarted) {
+                messageStarted = true;
+                onMessageStart();
             }
-            to += read;
-            while (from < to && !deaf && take()) {
-                begun = from < to;
-                if (begun) {
-                    begins();
+            writePosition += read;
+            while (readPosition < writePosition && !readingStopped && parseMessage()) {
+                messageStarted = readPosition < writePosition;
+                if (messageStarted) {
+                    onMessageStart();
                 }
             }
         }
     }
 
-    private void makeRoom() {
-        if (from > 0) {
-            System.arraycopy(buffer, from, buffer, 0, to - from);
-            to -= from;
-            from = 0;
+    private void ensureBufferSpace() {
+        if (readPosition > 0) {
+            System.arraycopy(buffer, readPosition, buffer, 0, writePosition - readPosition);
+            writePosition -= readPosition;
+            readPosition = 0;
         }
-        if (to == buffer.length) {
+        if (writePosition == buffer.length) {
             buffer = Arrays.copyOf(buffer, buffer.length * 2);
         }
     }
 
     /** Takes one whole message off the buffer; false where it is not whole yet. */
-    private boolean take() {
-        int head = headEnd();
+    private boolean parseMessage() {
+        int head = findHeadEnd();
         if (head < 0) {
-            if (to - from > LINE) {
-                unreadable("a head of more than " + LINE + " bytes");
-                from = to;
+            if (writePosition - readPosition > MAX_HEAD_BYTES) {
+                onMalformedInput("a head of more than " + MAX_HEAD_BYTES + " bytes");
+                readPosition = writePosition;
             }
             return false;
         }
         try {
             Map<String, String> fields = new HashMap<>();
             String[] first = null;
-            int at = from;
+            int at = readPosition;
             while (at < head) {
                 int end = at;
                 while (buffer[end] != '\n') {
@@ -196,44 +196,44 @@
                 }
                 at = end + 1;
             }
-            int bodyEnd = first == null ? head : head + bodyLength(first, fields);
-            if (to < bodyEnd) {
+            int bodyEnd = first == null ? head : head + parseBodyLength(first, fields);
+            if (writePosition < bodyEnd) {
                 return false;
             }
             byte[] body = Arrays.copyOfRange(buffer, head, bodyEnd);
-            from = bodyEnd;
-            if (from == to) {
-                from = 0;
-                to = 0;
+            readPosition = bodyEnd;
+            if (readPosition == writePosition) {
+                readPosition = 0;
+                writePosition = 0;
             }
             if (first != null) {
-                came(new Message(first, fields, body));
+                onMessage(new RawHttpMessage(first, fields, body));
             }
             return true;
         } catch (ParseException | NumberFormatException e) {
-            from = 0;
-            to = 0;
-            unreadable(e.getMessage());
+            readPosition = 0;
+            writePosition = 0;
+            onMalformedInput(e.getMessage());
             return false;
         }
     }
 
-    private static int bodyLength(String[] first, Map<String, String> fields) throws ParseException {
+    private static int parseBodyLength(String[] first, Map<String, String> fields) throws ParseException {
         String length = fields.get("content-length");
         if (fields.containsKey("transfer-encoding")) {
             throw new ParseException("a body in chunks");
         }
         int bytes = length == null || first[1].equals("204") ? 0 : Integer.parseInt(length);
-        if (bytes < 0 || bytes > MOST) {
+        if (bytes < 0 || bytes > MAX_BODY_BYTES) {
             throw new ParseException("a body of " + bytes + " bytes");
         }
         return bytes;
     }
 
-    private int headEnd() {
-        for (int i = from; i + 1 < to; i++) {
+    private int findHeadEnd() {
+        for (int i = readPosition; i + 1 < writePosition; i++) {
             if (buffer[i] == '\n' && (buffer[i + 1] == '\n'
-                    || buffer[i + 1] == '\r' && i + 2 < to && buffer[i + 2] == '\n')) {
+                    || buffer[i + 1] == '\r' && i + 2 < writePosition && buffer[i + 2] == '\n')) {
                 return buffer[i + 1] == '\n' ? i + 2 : i + 3;
             }
         }
@@ -244,12 +244,12 @@
     public void outputReady(IOSession one) throws IOException {
         one.getLock().lock();
         try {
-            while (!unsent.isEmpty()) {
-                one.write(unsent.peek());
-                if (unsent.peek().hasRemaining()) {
+            while (!unsentBuffers.isEmpty()) {
+                one.write(unsentBuffers.peek());
+                if (unsentBuffers.peek().hasRemaining()) {
                     return;
                 }
-                unsent.poll();
+                unsentBuffers.poll();
             }
             one.clearEvent(SelectionKey.OP_WRITE);
         } finally {
@@ -267,9 +267,9 @@
 
     @Override
     public void disconnected(IOSession one) {
-        if (!over) {
-            over = true;
-            ended();
+        if (!closed) {
+            closed = true;
+            onClosed();
         }
     }
 }
--- a/src/main/java/terndyke/lab/wire/Net.java
+++ b/src/main/java/terndyke/lab/wire/SocketReactor.java
@@ -25,40 +25,40 @@
 import org.apache.hc.core5.util.Timeout;
 
 /** The laboratory's sockets on HttpCore's reactor: listeners and connections, each with a link of its own. */
-public final class Net implements AutoCloseable {
-    private static final long PATIENCE = 10;
+public final class SocketReactor implements AutoCloseable {
+    private static final long LISTEN_TIMEOUT_SECONDS = 10;
 
     private final DefaultListeningIOReactor reactor;
 
     /** Makes the link of a new connection. */
-    public interface Maker extends Function<IOSession, Link> { }
+    public interface ConnectionFactory extends Function<IOSession, RawHttpConnection> { }
 
-    public Net(String name, int threads) {
+    public SocketReactor(String name, int threads) {
         AtomicInteger number = new AtomicInteger();
         IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(threads).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMilliseconds(50)).setBacklogSize(512).build();
-        reactor = new DefaultListeningIOReactor(Net::handler, io,
-                work -> thread(work, name + "-io-" + number.incrementAndGet()),
-                work -> thread(work, name + "-accept"), null, cause -> { }, null,
+        reactor = new DefaultListeningIOReactor(SocketReactor::createHandler, io,
+                work -> newDaemonThread(work, name + "-io-" + number.incrementAndGet()),
+                work -> newDaemonThread(work, name + "-accept"), null, cause -> { }, null,
                 ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK);
         reactor.start();
     }
 
-    private static IOEventHandler handler(ProtocolIOSession session, Object maker) {
-        return ((Maker) maker).apply(session);
+    private static IOEventHandler createHandler(ProtocolIOSession session, Object maker) {
+        return ((ConnectionFactory) maker).apply(session);
     }
 
-    private static Thread thread(Runnable work, String name) {
+    private static Thread newDaemonThread(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
     }
 
     /** Listens on an address until the listener is closed. */
-    public ListenerEndpoint listen(InetSocketAddress address, Maker maker) throws IOException {
+    public ListenerEndpoint listen(InetSocketAddress address, ConnectionFactory maker) throws IOException {
         Future<ListenerEndpoint> listening = reactor.listen(address, maker, null);
         try {
-            return listening.get(PATIENCE, TimeUnit.SECONDS);
+            return listening.get(LISTEN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -68,7 +68,7 @@
     }
 
     /** Connects; what the link becomes is told by its own methods, and whenFailed runs where it never comes up. */
-    public void connect(InetSocketAddress address, long timeoutMicros, Maker maker, Runnable whenFailed) {
+    public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory maker, Runnable whenFailed) {
         try {
             reactor.connect(new Host(address.getHostString(), address.getPort()), address, null,
                     Timeout.ofMicroseconds(timeoutMicros), maker,
@@ -92,7 +92,7 @@
     }
 
     /** A port of this loopback address that nobody listens on now. */
-    public static InetSocketAddress free(String host) throws IOException {
+    public static InetSocketAddress findFreeAddress(String host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
         }
--- a/src/main/java/terndyke/lab/wire/Ticker.java
+++ b/src/main/java/terndyke/lab/wire/TaskScheduler.java
@@ -4,35 +4,35 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** One thread that runs what is due; times are microseconds of System.nanoTime. */
-public final class Ticker implements AutoCloseable {
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+public final class TaskScheduler implements AutoCloseable {
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final Thread thread;
     private volatile boolean closed;
-    private volatile RuntimeException failure;
-    private long numbers;
+    private volatile RuntimeException firstFailure;
+    private long lastSequence;
 
-    private record Due(long at, long number, Runnable work) implements Comparable<Due> {
+    private record ScheduledTask(long dueMicros, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        public int compareTo(ScheduledTask other) {
+            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros) : Long.compare(sequence, other.sequence);
         }
     }
 
-    public Ticker(String name) {
+    public TaskScheduler(String name) {
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
         thread.start();
     }
 
-    public static long now() {
+    public static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
     /** Runs this at that time, or at once where it is over. */
-    public void at(long micros, Runnable work) {
+    public void schedule(long micros, Runnable work) {
         boolean first;
         synchronized (queue) {
-            Due due = new Due(micros, ++numbers, work);
+            ScheduledTask due = new ScheduledTask(micros, ++lastSequence, work);
             queue.add(due);
             first = queue.peek() == due;
         }
@@ -43,15 +43,15 @@
 
     private void run() {
         while (!closed) {
-            Due due;
-            long now = now();
+            ScheduledTask due;
+            long now = nowMicros();
             long wait = 1_000_000;
             synchronized (queue) {
                 due = queue.peek();
-                if (due != null && due.at <= now) {
+                if (due != null && due.dueMicros <= now) {
                     queue.poll();
                 } else {
-                    wait = due == null ? wait : due.at - now;
+                    wait = due == null ? wait : due.dueMicros - now;
                     due = null;
                 }
             }
@@ -60,16 +60,16 @@
                 continue;
             }
             try {
-                due.work.run();
+                due.task.run();
             } catch (RuntimeException e) {
-                failure = failure != null ? failure : e; // the rest goes on, but the run is worth nothing
+                firstFailure = firstFailure != null ? firstFailure : e; // the rest goes on, but the run is worth nothing
             }
         }
     }
 
     /** What went wrong first in the work it ran; null where nothing did. */
-    public RuntimeException failure() {
-        return failure;
+    public RuntimeException firstFailure() {
+        return firstFailure;
     }
 
     @Override
--- a/src/main/java/terndyke/lab/wire/NeverUp.java
+++ b/src/main/java/terndyke/lab/wire/UnreachableAddress.java
@@ -11,20 +11,20 @@
  * An address at which no connection comes up: a listener that never accepts, its queue filled. The kernel then drops what
  * else comes, as a machine that is cut off would.
  */
-public final class NeverUp implements AutoCloseable {
-    private static final int FILL = 4;
+public final class UnreachableAddress implements AutoCloseable {
+    private static final int BACKLOG_FILL_CONNECTIONS = 4;
 
     private final ServerSocket socket = new ServerSocket();
-    private final List<SocketChannel> filling = new ArrayList<>();
+    private final List<SocketChannel> backlogChannels = new ArrayList<>();
 
-    public NeverUp(InetSocketAddress address) throws IOException {
+    public UnreachableAddress(InetSocketAddress address) throws IOException {
         socket.setReuseAddress(true);
         socket.bind(address, 1);
-        for (int i = 0; i < FILL; i++) {
+        for (int i = 0; i < BACKLOG_FILL_CONNECTIONS; i++) {
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.connect(address);
-            filling.add(channel);
+            backlogChannels.add(channel);
         }
     }
 
@@ -32,7 +32,7 @@
     public void close() {
         try {
             socket.close();
-            for (SocketChannel channel : filling) {
+            for (SocketChannel channel : backlogChannels) {
                 channel.close();
             }
         } catch (IOException e) {
--- a/src/test/java/terndyke/lab/load/ScheduleTest.java
+++ b/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
@@ -15,18 +15,18 @@
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.ExperimentFile;
 
-class ScheduleTest {
+class ScheduleGeneratorTest {
     @TempDir
     Path folder;
 
-    private static Experiment day(String load, long seed) throws BadInput {
+    private static Experiment experiment(String load, long seed) throws BadInput {
         return ExperimentFile.read("day", "name: day\nabout: a day\nlength: 20s\ngrades:\n  - {name: status, effect: "
                 + "idempotent, target: 1s, abandon: 3s, share: 3}\n  - {name: order, effect: unrepeatable, target: 1s, "
                 + "abandon: 3s, inOrder: true}\ndestinations:\n  - {kind: shop, count: 5}\nload: " + load + "\n")
                 .withSeed(seed);
     }
 
-    private static long between(List<Arrival> arrivals, double from, double until) {
+    private static long countBetween(List<Arrival> arrivals, double from, double until) {
         return arrivals.stream().filter(one -> one.due() >= from * 1e6 && one.due() < until * 1e6).count();
     }
 
@@ -34,30 +34,30 @@
     void theSameSeedGivesTheSameScheduleByteForByte() throws Exception {
         for (String shape : List.of("constant", "poisson", "ramp", "surge", "wave", "clumps")) {
             String load = "{shape: " + shape + ", rate: 50, peak: 100, from: 5s, until: 10s}";
-            Trace.write(folder.resolve("a"), Schedule.of(day(load, 7)));
-            Trace.write(folder.resolve("b"), Schedule.of(day(load, 7)));
+            TraceFile.write(folder.resolve("a"), ScheduleGenerator.generate(experiment(load, 7)));
+            TraceFile.write(folder.resolve("b"), ScheduleGenerator.generate(experiment(load, 7)));
             assertEquals(-1, Files.mismatch(folder.resolve("a"), folder.resolve("b")), shape);
-            assertTrue(!Schedule.of(day(load, 7)).equals(Schedule.of(day(load, 8))), shape);
+            assertTrue(!ScheduleGenerator.generate(experiment(load, 7)).equals(ScheduleGenerator.generate(experiment(load, 8))), shape);
         }
     }
 
     @Test
-    void shapesPutTheRecordsWhereTheySay() throws BadInput {
-        assertEquals(1000, Schedule.of(day("{shape: constant, rate: 50}", 1)).size());
-        List<Arrival> surge = Schedule.of(day("{shape: surge, rate: 50, peak: 500, from: 5s, until: 10s}", 1));
-        assertTrue(between(surge, 5, 10) > 5 * between(surge, 10, 15));
-        List<Arrival> ramp = Schedule.of(day("{shape: ramp, rate: 10, peak: 300}", 1));
-        assertTrue(between(ramp, 15, 20) > 3 * between(ramp, 0, 5));
-        List<Arrival> wave = Schedule.of(day("{shape: wave, rate: 10, peak: 300}", 1));
-        assertTrue(between(wave, 8, 12) > 3 * between(wave, 0, 4));
-        List<Arrival> clumps = Schedule.of(day("{shape: clumps, rate: 50, clump: 10}", 1));
+    void loadShapesPlaceRecordsInTheTimesTheyDefine() throws BadInput {
+        assertEquals(1000, ScheduleGenerator.generate(experiment("{shape: constant, rate: 50}", 1)).size());
+        List<Arrival> surge = ScheduleGenerator.generate(experiment("{shape: surge, rate: 50, peak: 500, from: 5s, until: 10s}", 1));
+        assertTrue(countBetween(surge, 5, 10) > 5 * countBetween(surge, 10, 15));
+        List<Arrival> ramp = ScheduleGenerator.generate(experiment("{shape: ramp, rate: 10, peak: 300}", 1));
+        assertTrue(countBetween(ramp, 15, 20) > 3 * countBetween(ramp, 0, 5));
+        List<Arrival> wave = ScheduleGenerator.generate(experiment("{shape: wave, rate: 10, peak: 300}", 1));
+        assertTrue(countBetween(wave, 8, 12) > 3 * countBetween(wave, 0, 4));
+        List<Arrival> clumps = ScheduleGenerator.generate(experiment("{shape: clumps, rate: 50, clump: 10}", 1));
         assertEquals(0, clumps.size() % 10);
     }
 
     @Test
     void aKeyKeepsItsDestination() throws BadInput {
         java.util.Map<String, Integer> seen = new java.util.HashMap<>();
-        for (Arrival one : Schedule.of(day("{rate: 200, keys: 20}", 3))) {
+        for (Arrival one : ScheduleGenerator.generate(experiment("{rate: 200, keys: 20}", 3))) {
             assertEquals(one.grade().equals("order"), one.key() != null);
             if (one.key() != null) {
                 assertEquals(one.destination(), seen.computeIfAbsent(one.key(), key -> one.destination()));
@@ -66,35 +66,35 @@
     }
 
     @Test
-    void aTraceIsReplayedAsItWasRecordedPackedOrNot() throws Exception {
-        Experiment day = day("{rate: 50}", 5);
-        List<Arrival> arrivals = Schedule.of(day);
+    void aTraceIsReplayedAsItWasRecordedCompressedOrNot() throws Exception {
+        Experiment day = experiment("{rate: 50}", 5);
+        List<Arrival> arrivals = ScheduleGenerator.generate(day);
         for (String name : List.of("trace.jsonl", "trace.jsonl.zst")) {
-            Trace.write(folder.resolve(name), arrivals);
-            assertEquals(arrivals, Trace.read(folder.resolve(name), day));
+            TraceFile.write(folder.resolve(name), arrivals);
+            assertEquals(arrivals, TraceFile.read(folder.resolve(name), day));
         }
         assertTrue(Files.size(folder.resolve("trace.jsonl.zst")) * 4 < Files.size(folder.resolve("trace.jsonl")));
     }
 
     @Test
-    void everyLineOfATraceThatDoesNotFitIsNamed() throws Exception {
+    void everyInvalidLineOfATraceIsReported() throws Exception {
         Path file = folder.resolve("trace.jsonl");
         Files.write(file, List.of("{\"due\":5,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}",
                 "{\"due\":4,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}", "{",
                 "{\"due\":6,\"grade\":\"none\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}",
                 "{\"due\":6,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":9,\"bytes\":1}"));
-        List<String> faults = assertThrows(BadInput.class, () -> Trace.read(file, day("{rate: 50}", 5))).faults();
+        List<String> faults = assertThrows(BadInput.class, () -> TraceFile.read(file, experiment("{rate: 50}", 5))).faults();
         assertEquals(4, faults.size(), faults.toString());
         assertTrue(faults.get(0).contains(":2: due"), faults.get(0));
     }
 
     @Test
-    void whatAStallImpliesRunsFromTheDueTimes() {
+    void expectedLatenciesOfAStallCountFromTheDueTimes() {
         List<Arrival> arrivals = new java.util.ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             arrivals.add(new Arrival(i * 2_000L, "any", "any", null, 0, 1));
         }
-        long[] times = Proof.implied(arrivals, 4_000_000, 2_000_000, 5_000, 4);
+        long[] times = LoadGeneratorCheck.expectedLatencies(arrivals, 4_000_000, 2_000_000, 5_000, 4);
         assertEquals(5_000, times[0]);
         assertTrue(times[4_999] >= 2_000_000 && times[4_999] <= 2_005_000, "the first to be caught waits for all of it");
         assertTrue(times[4_949] > 1_800_000, "p99 shows it");
--- a/src/test/java/terndyke/lab/standin/StandInDayTest.java
+++ b/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
@@ -20,8 +20,8 @@
 import terndyke.lab.standin.StandInNode.Fault;
 
 /** The referee on sockets: a node that breaks just one rule is found, one that keeps them all is not blamed. */
-class StandInDayTest {
-    private static final String DAY = """
+class StandInNodeRefereeTest {
+    private static final String EXPERIMENT = """
             name: proving
             about: a little of everything that a rule is about
             length: 4500ms
@@ -50,8 +50,8 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void justThatRuleIsFoundBroken(Fault fault) throws Exception {
-        Experiment day = ExperimentFile.read("proving", DAY);
+    void refereeReportsExactlyTheRuleThatTheStandInBreaks(Fault fault) throws Exception {
+        Experiment day = ExperimentFile.read("proving", EXPERIMENT);
         Outcome outcome = new Day(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).play();
         assertNull(outcome.voided());
         List<Integer> broken = outcome.breaches().stream().map(Breach::rule).distinct().sorted().toList();
