--- a/src/main/java/terndyke/lab/Lab.java
+++ b/src/main/java/terndyke/lab/Lab.java
@@ -24,42 +24,42 @@
 
 import terndyke.SignalHandlers;
 import terndyke.lab.emulate.Emulator;
-import terndyke.lab.traced.FleetSums;
-import terndyke.lab.traced.Story;
-import terndyke.lab.traced.Traced;
+import terndyke.lab.traced.FleetStatistics;
+import terndyke.lab.traced.RecordTrace;
+import terndyke.lab.traced.TraceLine;
 import terndyke.lab.load.Arrival;
 import terndyke.lab.load.LoadGenerator;
 import terndyke.lab.load.LoadGeneratorCheck;
 import terndyke.lab.load.ScheduleGenerator;
 import terndyke.lab.load.TraceFile;
-import terndyke.lab.plan.BadInput;
-import terndyke.lab.plan.Drawer;
+import terndyke.lab.plan.UserInputException;
+import terndyke.lab.plan.ExperimentGenerator;
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.ExperimentFile;
 import terndyke.lab.plan.Failure;
-import terndyke.lab.plan.Shrinker;
-import terndyke.lab.plan.Span;
-import terndyke.lab.referee.Logbook;
+import terndyke.lab.plan.ExperimentShrinker;
+import terndyke.lab.plan.TimeSpan;
+import terndyke.lab.referee.EventLog;
 import terndyke.lab.report.Comparison;
-import terndyke.lab.report.Report;
+import terndyke.lab.report.ReportWriter;
 import terndyke.lab.report.SweepPlot;
-import terndyke.lab.run.Day;
-import terndyke.lab.run.NodeFile;
-import terndyke.lab.run.Outcome;
+import terndyke.lab.run.ExperimentRun;
+import terndyke.lab.run.NodeConfigurationWriter;
+import terndyke.lab.run.ExperimentResult;
 import terndyke.lab.standin.StandInNode;
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
 /** The laboratory's command line. Exit status: 0 rules kept, 1 a rule broken, 2 bad input, 3 void. */
 public final class Lab {
-    private static final int KEPT = 0;
-    private static final int BAD_INPUT = 2;
-    private static final int VOID = 3;
+    private static final int EXIT_RULES_KEPT = 0;
+    private static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_VOID = 3;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final PrintStream out;
     private final PrintStream err;
-    private volatile Day playing;
+    private volatile ExperimentRun currentRun;
     private volatile boolean interrupted;
     private volatile boolean emulating;
 
@@ -69,123 +69,123 @@
     }
 
     /** What commands that play a day share. */
-    private static class Playing {
+    private static class ExperimentOptions {
         @Parameter(description = "FILE")
-        List<String> files = new ArrayList<>();
+        List<String> arguments = new ArrayList<>();
         @Parameter(names = "--out", description = "the folder for what the run leaves")
-        private String out;
+        private String outputFolder;
         @Parameter(names = "--nodes", description = "another number of nodes")
-        private Integer nodes;
+        private Integer nodeCount;
         @Parameter(names = "--length", description = "another length of the day, such as 30s")
         private String length;
         @Parameter(names = "--jar", description = "the node's program; else this one")
-        private String jar;
+        private String nodeJar;
         @Parameter(names = "--set", description = "a field set otherwise, such as nodes.slots=12; as often as needed")
-        private List<String> set = new ArrayList<>();
+        private List<String> overrides = new ArrayList<>();
         @Parameter(names = "--stand-in", description = "a plain stand-in instead of the node, with this fault or none")
-        private StandInNode.Fault standIn;
+        private StandInNode.Fault standInFault;
 
-        String file() throws BadInput {
-            if (files.size() != 1) {
-                throw new BadInput("one experiment file is needed, " + files.size() + " are given");
+        String experimentFile() throws UserInputException {
+            if (arguments.size() != 1) {
+                throw new UserInputException("one experiment file is needed, " + arguments.size() + " are given");
             }
-            return files.get(0);
+            return arguments.get(0);
         }
 
-        Experiment read(String file, List<String> more) throws BadInput {
+        Experiment readExperiment(String file, List<String> more) throws UserInputException {
             Map<String, String> other = new LinkedHashMap<>();
-            List<String> all = new ArrayList<>(set);
+            List<String> all = new ArrayList<>(overrides);
             all.addAll(more);
             for (String one : all) {
                 int equals = one.indexOf('=');
                 if (equals < 1) {
-                    throw new BadInput("--set " + one + ": a field and its value are needed, such as nodes.slots=12");
+                    throw new UserInputException("--set " + one + ": a field and its value are needed, such as nodes.slots=12");
                 }
                 other.put(one.substring(0, equals), one.substring(equals + 1));
             }
             if (length != null) {
                 other.put("length", length);
             }
-            if (nodes != null) {
-                other.put("nodes.count", nodes.toString());
+            if (nodeCount != null) {
+                other.put("nodes.count", nodeCount.toString());
             }
             return ExperimentFile.read(Path.of(file), other);
         }
 
-        Experiment read() throws BadInput {
-            return read(file(), List.of());
+        Experiment readExperiment() throws UserInputException {
+            return readExperiment(experimentFile(), List.of());
         }
 
-        Path folder(String name) {
-            return Path.of(out != null ? out : "target/lab/" + name);
+        Path resolveOutputFolder(String name) {
+            return Path.of(outputFolder != null ? outputFolder : "target/lab/" + name);
         }
     }
 
     @Parameters(commandDescription = "play an experiment and report on it")
-    private static final class Run extends Playing {
+    private static final class RunOptions extends ExperimentOptions {
         @Parameter(names = "--seed", description = "another seed than the file's")
         private Long seed;
         @Parameter(names = "--record", description = "write the schedule as a trace; .zst compresses it")
-        private String record;
+        private String traceFile;
     }
 
     @Parameters(commandDescription = "send a schedule to an address, open loop")
-    private static final class Load {
+    private static final class LoadOptions {
         @Parameter(names = "--to", description = "HOST:PORT, loopback only", required = true)
-        private String to;
+        private String targetAddress;
         @Parameter(names = "--rate", description = "requests a second")
         private double rate = 1_000;
         @Parameter(names = "--peak", description = "the highest rate of a ramp, surge or wave; else the rate")
-        private Double peak;
+        private Double peakRate;
         @Parameter(names = "--shape", description = "constant, poisson, ramp, surge, wave or clumps")
         private String shape = "constant";
         @Parameter(names = "--for", description = "how long")
         private String length = "10s";
         @Parameter(names = "--connections", description = "the most connections")
-        private int connections = 256;
+        private int maxConnections = 256;
         @Parameter(names = "--bytes", description = "size of a body")
-        private int bytes = 200;
+        private int bodyBytes = 200;
         @Parameter(names = "--grade", description = "the first part of the path")
         private String grade = "notice";
         @Parameter(names = "--tenant", description = "the tenant")
         private String tenant = "acme";
         @Parameter(names = "--destinations", description = "numbers of destinations, from 0")
-        private int destinations = 1;
+        private int destinationCount = 1;
         @Parameter(names = "--late", description = "the run is void where one in a hundred requests is later than this")
-        private String late = "20ms";
+        private String maxLateness = "20ms";
         @Parameter(names = "--seed", description = "what the schedule is drawn from")
         private long seed = 1;
         @Parameter(names = "--trace", description = "replay this trace instead")
-        private String trace;
+        private String traceFile;
     }
 
     @Parameters(commandDescription = "serve an experiment's receivers and discovery until interrupted, for nodes of your own")
-    private static final class Emulate extends Playing { }
+    private static final class EmulateOptions extends ExperimentOptions { }
 
     @Parameters(commandDescription = "draw random days on an experiment; with --play, play them until one fails")
-    private static final class Draw extends Playing {
+    private static final class DrawOptions extends ExperimentOptions {
         @Parameter(names = "--seeds", description = "seeds, such as 1-20 or 3,5")
         private String seeds = "1";
         @Parameter(names = "--play", description = "play each; one that breaks a rule is cut down")
-        private boolean play;
+        private boolean runEach;
     }
 
     @Parameters(commandDescription = "cut an experiment that fails down to the shortest that still does")
-    private static final class Shrink extends Playing {
+    private static final class ShrinkOptions extends ExperimentOptions {
         @Parameter(names = "--tries", description = "how often a day has to fail in a row")
         private int tries = 1;
     }
 
     @Parameters(commandDescription = "two builds, settings or folders of runs on the same seeds: is the difference noise?")
-    private static final class Compare extends Playing {
+    private static final class CompareOptions extends ExperimentOptions {
         @Parameter(names = "--experiment", description = "the experiment, where A and B are jars")
-        private String experiment;
+        private String experimentFile;
         @Parameter(names = "--seeds", description = "seeds, such as 1-5")
         private String seeds = "1-5";
     }
 
     @Parameters(commandDescription = "vary a field over seeds and plot what comes of it")
-    private static final class Sweep extends Playing {
+    private static final class SweepOptions extends ExperimentOptions {
         @Parameter(names = "--field", description = "the field, such as load.rate", required = true)
         private String field;
         @Parameter(names = "--values", description = "its values, separated by commas", required = true)
@@ -193,35 +193,35 @@
         @Parameter(names = "--seeds", description = "seeds, such as 1-3")
         private String seeds = "1-3";
         @Parameter(names = "--figure", description = "the figures of a summary to plot, such as goodput,latencyMs.deliveredFromDue.p99")
-        private String figures = "goodput,messages.doneInTarget";
+        private String metrics = "goodput,messages.doneInTarget";
     }
 
     @Parameters(commandDescription = "list the experiments of a folder")
-    private static final class Listing {
+    private static final class ListOptions {
         @Parameter(names = "--dir", description = "the folder")
         private String folder = "lab/experiments";
     }
 
     @Parameters(commandDescription = "add up what the nodes of a fleet traced (serve --trace), by step of time")
-    private static final class Fleet {
+    private static final class FleetOptions {
         @Parameter(description = "LOGS", required = true)
         private List<String> logs = new ArrayList<>();
         @Parameter(names = "--step", description = "the length of a step")
         private String step = "1s";
         @Parameter(names = "--destinations", description = "how many destinations get a table of their own, the busiest first")
-        private int destinations = 3;
+        private int maxDestinationTables = 3;
         @Parameter(names = "--record", description = "instead, all that befell the record with this id, through every node")
-        private String record;
+        private String recordId;
     }
 
     @Parameters(commandDescription = "check the load tool on this machine against stand-ins with known delays")
-    private static final class Prove { }
+    private static final class ProveOptions { }
 
     @Parameters(commandDescription = "print the schema of experiment files")
-    private static final class SchemaOf { }
+    private static final class SchemaOptions { }
 
     @Parameters(commandDescription = "show this text")
-    private static final class Help { }
+    private static final class HelpOptions { }
 
     /** Runs one command, on the streams of the process. No node outlives it, however it ends. */
     public static int run(String[] arguments) {
@@ -234,14 +234,14 @@
         } catch (IOException e) {
             System.err.println("terndyke lab: " + e.getMessage() + "; an interrupt leaves no report");
         }
-        return lab.command(arguments);
+        return lab.runCommand(arguments);
     }
 
     /** On SIGINT or SIGTERM: the day ends and its report is written; the second one ends all at once. */
     private void interrupt() {
-        Day day = playing;
+        ExperimentRun day = currentRun;
         if (interrupted || day == null && !emulating) {
-            System.exit(VOID);
+            System.exit(EXIT_VOID);
         }
         interrupted = true;
         if (day != null) {
@@ -249,99 +249,99 @@
         }
     }
 
-    private int command(String[] arguments) {
+    private int runCommand(String[] arguments) {
         Map<String, Object> commands = new LinkedHashMap<>();
-        commands.put("run", new Run());
-        commands.put("load", new Load());
-        commands.put("emulate", new Emulate());
-        commands.put("draw", new Draw());
-        commands.put("shrink", new Shrink());
-        commands.put("compare", new Compare());
-        commands.put("sweep", new Sweep());
-        commands.put("fleet", new Fleet());
-        commands.put("prove", new Prove());
-        commands.put("list", new Listing());
-        commands.put("schema", new SchemaOf());
-        commands.put("help", new Help());
+        commands.put("run", new RunOptions());
+        commands.put("load", new LoadOptions());
+        commands.put("emulate", new EmulateOptions());
+        commands.put("draw", new DrawOptions());
+        commands.put("shrink", new ShrinkOptions());
+        commands.put("compare", new CompareOptions());
+        commands.put("sweep", new SweepOptions());
+        commands.put("fleet", new FleetOptions());
+        commands.put("prove", new ProveOptions());
+        commands.put("list", new ListOptions());
+        commands.put("schema", new SchemaOptions());
+        commands.put("help", new HelpOptions());
         JCommander parser = JCommander.newBuilder().programName("terndyke lab").build();
         commands.forEach(parser::addCommand);
         try {
             parser.parse(arguments);
-            return go(parser, commands.get(parser.getParsedCommand()));
+            return dispatch(parser, commands.get(parser.getParsedCommand()));
         } catch (ParameterException e) {
             err.println("terndyke lab: " + e.getMessage());
-            return BAD_INPUT;
-        } catch (BadInput e) {
-            e.faults().forEach(err::println);
-            return BAD_INPUT;
+            return EXIT_BAD_INPUT;
+        } catch (UserInputException e) {
+            e.errors().forEach(err::println);
+            return EXIT_BAD_INPUT;
         } catch (IOException e) {
             err.println("terndyke lab: " + e.getMessage());
-            return VOID;
+            return EXIT_VOID;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return VOID;
+            return EXIT_VOID;
         } catch (Exception e) {
             err.println("terndyke lab: " + e);
             e.printStackTrace(err);
-            return VOID;
+            return EXIT_VOID;
         }
     }
 
-    private int go(JCommander parser, Object command) throws Exception {
-        if (command instanceof Run run) {
+    private int dispatch(JCommander parser, Object command) throws Exception {
+        if (command instanceof RunOptions run) {
             return run(run);
-        } else if (command instanceof Load load) {
+        } else if (command instanceof LoadOptions load) {
             return load(load);
-        } else if (command instanceof Emulate emulate) {
+        } else if (command instanceof EmulateOptions emulate) {
             return emulate(emulate);
-        } else if (command instanceof Draw draw) {
+        } else if (command instanceof DrawOptions draw) {
             return draw(draw);
-        } else if (command instanceof Shrink shrink) {
+        } else if (command instanceof ShrinkOptions shrink) {
             return shrink(shrink);
-        } else if (command instanceof Compare compare) {
+        } else if (command instanceof CompareOptions compare) {
             return compare(compare);
-        } else if (command instanceof Sweep sweep) {
+        } else if (command instanceof SweepOptions sweep) {
             return sweep(sweep);
-        } else if (command instanceof Fleet fleet) {
+        } else if (command instanceof FleetOptions fleet) {
             return fleet(fleet);
-        } else if (command instanceof Prove) {
-            return new LoadGeneratorCheck(out).run() ? KEPT : 1;
-        } else if (command instanceof Listing listing) {
+        } else if (command instanceof ProveOptions) {
+            return new LoadGeneratorCheck(out).run() ? EXIT_RULES_KEPT : 1;
+        } else if (command instanceof ListOptions listing) {
             return list(listing);
-        } else if (command instanceof SchemaOf) {
-            out.println(ExperimentFile.schemaText().toPrettyString());
-            return KEPT;
+        } else if (command instanceof SchemaOptions) {
+            out.println(ExperimentFile.jsonSchema().toPrettyString());
+            return EXIT_RULES_KEPT;
         }
         StringBuilder usage = new StringBuilder();
         parser.getUsageFormatter().usage(usage);
         out.println(usage);
-        return command == null ? BAD_INPUT : KEPT;
+        return command == null ? EXIT_BAD_INPUT : EXIT_RULES_KEPT;
     }
 
-    private record Played(int status, JsonNode summary) { }
+    private record CompletedRun(int status, JsonNode summary) { }
 
-    private Played play(Playing how, Experiment day, Path folder, PrintStream progress) throws IOException, BadInput,
+    private CompletedRun runExperiment(ExperimentOptions how, Experiment day, Path folder, PrintStream progress) throws IOException, UserInputException,
             InterruptedException {
-        Day one = new Day(day, folder, how.jar, how.standIn, progress);
-        playing = one;
+        ExperimentRun one = new ExperimentRun(day, folder, how.nodeJar, how.standInFault, progress);
+        currentRun = one;
         if (interrupted) {
             one.interrupt();
         }
-        Outcome outcome = one.play();
-        playing = null;
-        return new Played(outcome.status(), Report.write(outcome, folder, progress));
+        ExperimentResult outcome = one.execute();
+        currentRun = null;
+        return new CompletedRun(outcome.status(), ReportWriter.write(outcome, folder, progress));
     }
 
-    private int run(Run run) throws IOException, BadInput, InterruptedException {
-        Experiment day = run.read();
+    private int run(RunOptions run) throws IOException, UserInputException, InterruptedException {
+        Experiment day = run.readExperiment();
         day = run.seed == null ? day : day.withSeed(run.seed);
-        if (run.record != null) {
-            TraceFile.write(Path.of(run.record), ScheduleGenerator.generate(day));
+        if (run.traceFile != null) {
+            TraceFile.write(Path.of(run.traceFile), ScheduleGenerator.generate(day));
         }
-        return play(run, day, run.folder(day.name()), out).status;
+        return runExperiment(run, day, run.resolveOutputFolder(day.name()), out).status;
     }
 
-    private static InetSocketAddress loopback(String text) throws BadInput {
+    private static InetSocketAddress parseLoopbackAddress(String text) throws UserInputException {
         int colon = text.lastIndexOf(':');
         try {
             InetAddress host = InetAddress.getByName(text.substring(0, Math.max(0, colon)));
@@ -349,123 +349,123 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | RuntimeException e) {
-            throw new BadInput("--to " + text + ": HOST:PORT is needed");
+            throw new UserInputException("--to " + text + ": HOST:PORT is needed");
         }
-        throw new BadInput("--to " + text + ": only loopback addresses are loaded");
+        throw new UserInputException("--to " + text + ": only loopback addresses are loaded");
     }
 
-    private int load(Load load) throws BadInput, InterruptedException {
-        InetSocketAddress to = loopback(load.to);
+    private int load(LoadOptions load) throws UserInputException, InterruptedException {
+        InetSocketAddress to = parseLoopbackAddress(load.targetAddress);
         Experiment day;
         try {
             day = ExperimentFile.read("the options", String.format(Locale.ROOT, "name: load%nabout: load%nseed: %d%nlength: "
                     + "%s%ngrades: [{name: '%s', effect: idempotent, target: 1s, abandon: 5s}]%ntenants: [{name: '%s'}]%n"
                     + "destinations: [{kind: any, count: %d}]%nload: {shape: %s, rate: %f, peak: %f, bytes: %d}%nlate: %s%n",
-                    load.seed, load.length, load.grade, load.tenant, load.destinations, load.shape, load.rate,
-                    load.peak == null ? load.rate : load.peak, load.bytes, load.late));
-        } catch (BadInput e) {
-            throw new BadInput(e.faults().stream().map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
+                    load.seed, load.length, load.grade, load.tenant, load.destinationCount, load.shape, load.rate,
+                    load.peakRate == null ? load.rate : load.peakRate, load.bodyBytes, load.maxLateness));
+        } catch (UserInputException e) {
+            throw new UserInputException(e.errors().stream().map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
         }
-        List<Arrival> arrivals = load.trace == null ? ScheduleGenerator.generate(day) : TraceFile.read(Path.of(load.trace), day);
+        List<Arrival> arrivals = load.traceFile == null ? ScheduleGenerator.generate(day) : TraceFile.read(Path.of(load.traceFile), day);
         try (SocketReactor net = new SocketReactor("terndyke-lab-load", 1)) {
-            LoadGenerator tool = new LoadGenerator(net, to, load.connections);
-            tool.openConnections(load.connections);
+            LoadGenerator tool = new LoadGenerator(net, to, load.maxConnections);
+            tool.openConnections(load.maxConnections);
             LoadGenerator.Result run = tool.run(arrivals, 5_000_000);
             out.printf("%d requests in %.1f s: %d answered, %d of them taken, %d broken, %d without an answer%n", run.offered(),
                     run.seconds(), run.answered(), run.accepted(), run.broken(), run.unanswered());
-            say("from due", run.latencyFromDue());
-            say("from sent", run.latencyFromSent());
-            say("the tool's lateness", run.lateness());
+            printPercentiles("from due", run.latencyFromDue());
+            printPercentiles("from sent", run.latencyFromSent());
+            printPercentiles("the tool's lateness", run.lateness());
             if (run.lateness().getValueAtPercentile(99) > day.late().micros()) {
                 out.printf("void: the tool itself was late, %s allowed%n", day.late());
-                return VOID;
+                return EXIT_VOID;
             }
-            return KEPT;
+            return EXIT_RULES_KEPT;
         }
     }
 
-    private void say(String what, Histogram times) {
+    private void printPercentiles(String what, Histogram times) {
         out.printf("%s: p50 %.3f ms, p90 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, max %.3f ms%n", what,
                 times.getValueAtPercentile(50) / 1e3, times.getValueAtPercentile(90) / 1e3,
                 times.getValueAtPercentile(99) / 1e3, times.getValueAtPercentile(99.9) / 1e3, times.getMaxValue() / 1e3);
     }
 
-    private int emulate(Emulate emulate) throws IOException, BadInput, InterruptedException {
-        Experiment day = emulate.read();
+    private int emulate(EmulateOptions emulate) throws IOException, UserInputException, InterruptedException {
+        Experiment day = emulate.readExperiment();
         emulating = true;
-        Path folder = emulate.folder(day.name() + "-emulated");
-        Logbook logbook = new Logbook();
-        logbook.startAt(TaskScheduler.nowMicros());
+        Path folder = emulate.resolveOutputFolder(day.name() + "-emulated");
+        EventLog logbook = new EventLog();
+        logbook.setStartMicros(TaskScheduler.nowMicros());
         try (TaskScheduler answers = new TaskScheduler("terndyke-lab-answers"); TaskScheduler failures = new TaskScheduler("terndyke-lab-failures");
                 SocketReactor net = new SocketReactor("terndyke-lab-receivers", 4);
                 Emulator emulator = new Emulator(day, logbook, net, answers, true)) {
             Files.createDirectories(folder);
             for (int node = 0; node < day.nodes().count(); node++) {
                 Path file = folder.resolve("n" + node + ".json");
-                Files.writeString(file, NodeFile.of(day, node, emulator.agents().get(node)));
+                Files.writeString(file, NodeConfigurationWriter.toJson(day, node, emulator.agents().get(node)));
                 out.println("node " + node + ": serve --config " + file);
             }
             out.println(emulator.receiverCount() + " receivers serve; failures count from now, an interrupt ends it");
             day.failures().forEach(failure -> {
-                if (failure.kind().side() == Failure.Side.RECEIVER
-                        || failure.kind().side() == Failure.Side.DISCOVERY) {
-                    failures.schedule(logbook.start() + failure.at().micros(), () -> emulator.beginFailure(failure));
-                    failures.schedule(logbook.start() + failure.until(), () -> emulator.endFailure(failure));
+                if (failure.kind().targetType() == Failure.TargetType.RECEIVER
+                        || failure.kind().targetType() == Failure.TargetType.DISCOVERY) {
+                    failures.schedule(logbook.startMicros() + failure.at().micros(), () -> emulator.beginFailure(failure));
+                    failures.schedule(logbook.startMicros() + failure.endMicros(), () -> emulator.endFailure(failure));
                 }
             });
             while (!interrupted) {
                 Thread.sleep(100);
             }
         }
-        return KEPT;
+        return EXIT_RULES_KEPT;
     }
 
-    private int draw(Draw draw) throws Exception {
-        Experiment base = draw.read();
-        Path folder = draw.folder(base.name() + "-drawn");
+    private int draw(DrawOptions draw) throws Exception {
+        Experiment base = draw.readExperiment();
+        Path folder = draw.resolveOutputFolder(base.name() + "-drawn");
         Files.createDirectories(folder);
-        for (long seed : seeds(draw.seeds)) {
-            Experiment day = Drawer.draw(base, seed);
+        for (long seed : parseSeeds(draw.seeds)) {
+            Experiment day = ExperimentGenerator.generate(base, seed);
             Path file = folder.resolve(day.name() + ".yaml");
-            Files.writeString(file, ExperimentFile.write(day));
+            Files.writeString(file, ExperimentFile.toYaml(day));
             out.println(file);
-            if (draw.play) {
-                Played played = play(draw, day, folder.resolve(day.name()), out);
+            if (draw.runEach) {
+                CompletedRun played = runExperiment(draw, day, folder.resolve(day.name()), out);
                 if (played.status == 1) {
                     return shrink(draw, day, folder, 1);
                 }
                 if (interrupted) {
-                    return VOID;
+                    return EXIT_VOID;
                 }
             }
         }
-        return KEPT;
+        return EXIT_RULES_KEPT;
     }
 
-    private int shrink(Shrink shrink) throws Exception {
-        Experiment day = shrink.read();
-        return shrink(shrink, day, shrink.folder(day.name() + "-shrunk"), shrink.tries);
+    private int shrink(ShrinkOptions shrink) throws Exception {
+        Experiment day = shrink.readExperiment();
+        return shrink(shrink, day, shrink.resolveOutputFolder(day.name() + "-shrunk"), shrink.tries);
     }
 
-    private int shrink(Playing how, Experiment day, Path folder, int tries) throws Exception {
+    private int shrink(ExperimentOptions how, Experiment day, Path folder, int tries) throws Exception {
         Files.createDirectories(folder);
         PrintStream quiet = new PrintStream(PrintStream.nullOutputStream());
-        Shrinker shrinker = new Shrinker(one -> !interrupted
-                && play(how, one, folder.resolve("try"), quiet).status == 1, tries, out::println);
+        ExperimentShrinker shrinker = new ExperimentShrinker(one -> !interrupted
+                && runExperiment(how, one, folder.resolve("try"), quiet).status == 1, tries, out::println);
         Experiment least = shrinker.shrink(day);
         if (least == null) {
             out.println("no rule is broken, so there is nothing to cut down");
-            return interrupted ? VOID : KEPT;
+            return interrupted ? EXIT_VOID : EXIT_RULES_KEPT;
         }
         Path file = folder.resolve(day.name() + "-least.yaml");
-        Files.writeString(file, ExperimentFile.write(least));
+        Files.writeString(file, ExperimentFile.toYaml(least));
         out.printf("%d of %d failures, %s instead of %s, after %d days: %s%n", least.failures().size(), day.failures().size(),
-                least.length(), day.length(), shrinker.played(), file);
+                least.length(), day.length(), shrinker.runCount(), file);
         return 1;
     }
 
-    private List<JsonNode> runs(Playing how, String side, String experiment, List<Long> seeds, Path folder)
-            throws IOException, BadInput, InterruptedException {
+    private List<JsonNode> collectSummaries(ExperimentOptions how, String side, String experiment, List<Long> seeds, Path folder)
+            throws IOException, UserInputException, InterruptedException {
         List<JsonNode> summaries = new ArrayList<>();
         if (Files.isDirectory(Path.of(side))) {
             try (Stream<Path> files = Files.walk(Path.of(side))) {
@@ -478,114 +478,114 @@
         }
         boolean jar = side.endsWith(".jar");
         if (jar && experiment == null) {
-            throw new BadInput("two builds are compared on an experiment: --experiment FILE is needed");
+            throw new UserInputException("two builds are compared on an experiment: --experiment FILE is needed");
         }
         if (jar && !Files.exists(Path.of(side))) {
-            throw new BadInput(side + ": there is no such program");
+            throw new UserInputException(side + ": there is no such program");
         }
-        String before = how.jar;
-        how.jar = jar ? side : before;
+        String before = how.nodeJar;
+        how.nodeJar = jar ? side : before;
         for (long seed : seeds) {
-            Experiment day = how.read(jar ? experiment : side, List.of()).withSeed(seed);
-            Played played = play(how, day, folder.resolve(Long.toString(seed)), out);
-            if (played.status == VOID) {
+            Experiment day = how.readExperiment(jar ? experiment : side, List.of()).withSeed(seed);
+            CompletedRun played = runExperiment(how, day, folder.resolve(Long.toString(seed)), out);
+            if (played.status == EXIT_VOID) {
                 throw new IOException("the run with seed " + seed + " is void: " + played.summary.path("void").asText());
             }
             summaries.add(played.summary);
         }
-        how.jar = before;
+        how.nodeJar = before;
         return summaries;
     }
 
-    private int compare(Compare compare) throws IOException, BadInput, InterruptedException {
-        if (compare.files.size() != 2) {
-            throw new BadInput("two sides are needed: jars, experiment files or folders of runs");
+    private int compare(CompareOptions compare) throws IOException, UserInputException, InterruptedException {
+        if (compare.arguments.size() != 2) {
+            throw new UserInputException("two sides are needed: jars, experiment files or folders of runs");
         }
-        Path folder = compare.folder("compared");
-        List<Long> seeds = seeds(compare.seeds);
-        List<JsonNode> a = runs(compare, compare.files.get(0), compare.experiment, seeds, folder.resolve("a"));
-        List<JsonNode> b = runs(compare, compare.files.get(1), compare.experiment, seeds, folder.resolve("b"));
+        Path folder = compare.resolveOutputFolder("compared");
+        List<Long> seeds = parseSeeds(compare.seeds);
+        List<JsonNode> a = collectSummaries(compare, compare.arguments.get(0), compare.experimentFile, seeds, folder.resolve("a"));
+        List<JsonNode> b = collectSummaries(compare, compare.arguments.get(1), compare.experimentFile, seeds, folder.resolve("b"));
         List<Long> seedsA = a.stream().map(json -> json.path("seed").asLong()).toList();
         if (a.isEmpty() || !seedsA.equals(b.stream().map(json -> json.path("seed").asLong()).toList())) {
-            throw new BadInput("the two sides have no runs on the same seeds");
+            throw new UserInputException("the two sides have no runs on the same seeds");
         }
         StringBuilder words = new StringBuilder();
-        Comparison.of(a, b).forEach(one -> words.append(one.words()).append(System.lineSeparator()));
+        Comparison.of(a, b).forEach(one -> words.append(one.describe()).append(System.lineSeparator()));
         long broken = Stream.concat(a.stream(), b.stream()).filter(json -> json.path("status").asInt() == 1).count();
         words.append(broken).append(" of ").append(a.size() * 2).append(" days broke a rule").append(System.lineSeparator());
         out.print(words);
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("comparison.txt"), words);
-        return broken > 0 ? 1 : KEPT;
+        return broken > 0 ? 1 : EXIT_RULES_KEPT;
     }
 
-    private int sweep(Sweep sweep) throws IOException, BadInput, InterruptedException {
-        Path folder = sweep.folder("swept");
+    private int sweep(SweepOptions sweep) throws IOException, UserInputException, InterruptedException {
+        Path folder = sweep.resolveOutputFolder("swept");
         List<String> values = List.of(sweep.values.split(","));
         List<List<JsonNode>> all = new ArrayList<>();
         boolean broken = false;
         for (String value : values) { // all of them are checked before the first is played
-            sweep.read(sweep.file(), List.of(sweep.field + "=" + value));
+            sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value));
         }
         for (String value : values) {
             List<JsonNode> some = new ArrayList<>();
-            for (long seed : seeds(sweep.seeds)) {
-                Experiment day = sweep.read(sweep.file(), List.of(sweep.field + "=" + value)).withSeed(seed);
-                Played played = play(sweep, day, folder.resolve(value.replaceAll("\\W", "_")).resolve(Long.toString(seed)), out);
+            for (long seed : parseSeeds(sweep.seeds)) {
+                Experiment day = sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value)).withSeed(seed);
+                CompletedRun played = runExperiment(sweep, day, folder.resolve(value.replaceAll("\\W", "_")).resolve(Long.toString(seed)), out);
                 broken |= played.status == 1;
                 if (interrupted) {
-                    return VOID;
+                    return EXIT_VOID;
                 }
                 some.add(played.summary);
             }
             all.add(some);
         }
-        SweepPlot.write(folder.resolve("sweep.html"), sweep.field, values, List.of(sweep.figures.split(",")), all, out);
+        SweepPlot.write(folder.resolve("sweep.html"), sweep.field, values, List.of(sweep.metrics.split(",")), all, out);
         out.println("plots: " + folder.resolve("sweep.html"));
-        return broken ? 1 : KEPT;
+        return broken ? 1 : EXIT_RULES_KEPT;
     }
 
-    private int fleet(Fleet fleet) throws IOException, BadInput {
-        List<Traced> lines = new ArrayList<>();
+    private int fleet(FleetOptions fleet) throws IOException, UserInputException {
+        List<TraceLine> lines = new ArrayList<>();
         for (String logs : fleet.logs) {
-            lines.addAll(Traced.read(Path.of(logs)));
+            lines.addAll(TraceLine.read(Path.of(logs)));
         }
-        lines.sort(java.util.Comparator.comparingLong(Traced::at));
-        if (fleet.record != null) {
-            List<Traced> story = Story.of(lines, fleet.record);
-            story.forEach(line -> out.printf(Locale.ROOT, "%10.3f %s %s %s%n", (line.at() - lines.get(0).at()) / 1e6,
-                    line.node(), line.verb(), String.join(" ", line.about())));
-            return story.isEmpty() ? BAD_INPUT : KEPT;
+        lines.sort(java.util.Comparator.comparingLong(TraceLine::atMicros));
+        if (fleet.recordId != null) {
+            List<TraceLine> story = RecordTrace.findLines(lines, fleet.recordId);
+            story.forEach(line -> out.printf(Locale.ROOT, "%10.3f %s %s %s%n", (line.atMicros() - lines.get(0).atMicros()) / 1e6,
+                    line.node(), line.verb(), String.join(" ", line.arguments())));
+            return story.isEmpty() ? EXIT_BAD_INPUT : EXIT_RULES_KEPT;
         }
-        FleetSums sums = FleetSums.of(lines, step(fleet.step));
-        out.print(sums.table(null));
-        sums.destinations().stream().limit(fleet.destinations).forEach(name -> out.print(sums.table(name)));
-        return KEPT;
+        FleetStatistics sums = FleetStatistics.of(lines, parseStepMicros(fleet.step));
+        out.print(sums.formatTable(null));
+        sums.destinations().stream().limit(fleet.maxDestinationTables).forEach(name -> out.print(sums.formatTable(name)));
+        return EXIT_RULES_KEPT;
     }
 
-    private static long step(String text) throws BadInput {
+    private static long parseStepMicros(String text) throws UserInputException {
         try {
-            long step = Span.of(text).micros();
+            long step = TimeSpan.of(text).micros();
             if (step > 0) {
                 return step;
             }
         } catch (IllegalArgumentException e) {
-            throw new BadInput("--step " + e.getMessage());
+            throw new UserInputException("--step " + e.getMessage());
         }
-        throw new BadInput("--step " + text + ": a step takes time");
+        throw new UserInputException("--step " + text + ": a step takes time");
     }
 
-    private int list(Listing listing) throws IOException, BadInput {
+    private int list(ListOptions listing) throws IOException, UserInputException {
         try (Stream<Path> files = Files.list(Path.of(listing.folder))) {
             for (Path file : files.filter(one -> one.toString().endsWith(".yaml")).sorted().toList()) {
                 Experiment day = ExperimentFile.read(file);
                 out.printf("%-40s %s%n", file, day.about().strip());
             }
         }
-        return KEPT;
+        return EXIT_RULES_KEPT;
     }
 
-    static List<Long> seeds(String text) throws BadInput {
+    static List<Long> parseSeeds(String text) throws UserInputException {
         List<Long> seeds = new ArrayList<>();
         try {
             for (String part : text.split(",")) {
@@ -600,7 +600,7 @@
                 }
             }
         } catch (NumberFormatException e) {
-            throw new BadInput("seeds " + text + ": numbers and spans such as 1-5,9 are needed");
+            throw new UserInputException("seeds " + text + ": numbers and spans such as 1-5,9 are needed");
         }
         return seeds;
     }
--- a/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
@@ -25,9 +25,9 @@
 
 import terndyke.lab.plan.Failure;
 import terndyke.lab.plan.Failure.Kind;
-import terndyke.lab.referee.Logbook;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.referee.Sight.What;
+import terndyke.lab.referee.EventLog;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.referee.ObservedEvent.EventType;
 import terndyke.lab.wire.RawHttpConnection;
 import terndyke.lab.wire.RawHttpMessage;
 import terndyke.lab.wire.SocketReactor;
@@ -53,7 +53,7 @@
     private InetSocketAddress address;
     private ListenerEndpoint listener;
     private final Set<NodeConnection> connections = new HashSet<>();
-    private final Logbook eventLog;
+    private final EventLog eventLog;
     private final TaskScheduler scheduler;
     private final long propagationDelayMicros;
     private final Map<String, DiscoveryRegistry.Entry> entries = new LinkedHashMap<>();
@@ -66,7 +66,7 @@
     /** A watch that waits for something newer than a version. */
     private record PendingWatch(NodeConnection connection, long afterRevision, long deadlineMicros) { }
 
-    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor net, Logbook logbook, TaskScheduler ticker, long delay) throws IOException {
+    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor net, EventLog logbook, TaskScheduler ticker, long delay) throws IOException {
         this.node = node;
         this.reactor = net;
         this.address = address;
@@ -110,7 +110,7 @@
             entries.put(entry.uid(), entry);
         }
         if (!hasFailure(Kind.LIST_SILENT)) {
-            eventLog.add(Sight.listed(TaskScheduler.nowMicros(), What.AGENT_HAS, node, entry.uid(), stateCode(entry)));
+            eventLog.add(ObservedEvent.ofListEntry(TaskScheduler.nowMicros(), EventType.AGENT_HAS, node, entry.uid(), stateCode(entry)));
         }
         answerPendingWatches();
     }
@@ -127,7 +127,7 @@
         activeFailures.remove(failure);
         if (!hasFailure(Kind.LIST_SILENT)) {
             entries.values().forEach(entry -> eventLog.add(
-                    Sight.listed(TaskScheduler.nowMicros(), What.AGENT_HAS, node, entry.uid(), stateCode(entry))));
+                    ObservedEvent.ofListEntry(TaskScheduler.nowMicros(), EventType.AGENT_HAS, node, entry.uid(), stateCode(entry))));
             answerPendingWatches();
         }
     }
@@ -206,13 +206,13 @@
                 return true;
             }
             watcher.connection.sendResponse(200, listJson(some, whole));
-            some.forEach(entry -> eventLog.add(Sight.listed(now, What.TOLD, node, entry.uid(), stateCode(entry))));
+            some.forEach(entry -> eventLog.add(ObservedEvent.ofListEntry(now, EventType.TOLD, node, entry.uid(), stateCode(entry))));
             return true;
         });
     }
 
     private synchronized void handleNotices(NodeConnection side, byte[] body) {
-        List<Sight> read = new ArrayList<>();
+        List<ObservedEvent> read = new ArrayList<>();
         try {
             for (String line : new String(body, StandardCharsets.UTF_8).split("\n")) {
                 if (!line.isBlank()) {
@@ -221,7 +221,7 @@
                     if (!notice.path("ref").isTextual() || !result.equals("dead") && !result.equals("bounced")) {
                         throw new IOException("no notice");
                     }
-                    read.add(new Sight(TaskScheduler.nowMicros(), What.NOTICE, node, notice.path("ref").asText(), 0, null, 0, 0, 0,
+                    read.add(new ObservedEvent(TaskScheduler.nowMicros(), EventType.NOTICE, node, notice.path("ref").asText(), 0, null, 0, 0, 0,
                             notice.path("wait_ms").asLong() * 1000, 0, result, null));
                 }
             }
@@ -230,7 +230,7 @@
             return;
         }
         if (hasFailure(Kind.NOTICES_REFUSED)) {
-            read.forEach(sight -> eventLog.add(new Sight(sight.at(), What.NOTICE_REFUSED, node, sight.id(), 0, null, 0, 0, 500, 0,
+            read.forEach(sight -> eventLog.add(new ObservedEvent(sight.at(), EventType.NOTICE_REFUSED, node, sight.id(), 0, null, 0, 0, 500, 0,
                     0, sight.note(), null)));
             side.sendResponse(500, "");
             return;
--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -17,14 +17,14 @@
 import terndyke.lab.model.EmulatedDestination;
 import terndyke.lab.model.ReceiverListener;
 import terndyke.lab.plan.Experiment;
-import terndyke.lab.plan.Experiment.Destinations;
-import terndyke.lab.plan.Experiment.Effect;
+import terndyke.lab.plan.Experiment.DestinationGroup;
+import terndyke.lab.plan.Experiment.RepeatSemantics;
 import terndyke.lab.plan.Failure;
 import terndyke.lab.plan.Failure.Kind;
-import terndyke.lab.plan.Failure.Side;
-import terndyke.lab.referee.Logbook;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.referee.Sight.What;
+import terndyke.lab.plan.Failure.TargetType;
+import terndyke.lab.referee.EventLog;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.referee.ObservedEvent.EventType;
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
@@ -34,7 +34,7 @@
     private static final long DRAIN_REMOVAL_DELAY_MICROS = 4_000_000;
 
     private final Experiment experiment;
-    private final Logbook eventLog;
+    private final EventLog eventLog;
     private final SocketReactor reactor;
     private final TaskScheduler scheduler;
     private final List<EmulatedDestination> destinations = new ArrayList<>();
@@ -53,13 +53,13 @@
 
         @Override
         public void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped) {
-            eventLog.add(new Sight(now, dropped ? What.DROPPED : What.RAN, shot.node(), shot.id(), 0, receiver.uid(),
+            eventLog.add(new ObservedEvent(now, dropped ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0, receiver.uid(),
                     receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
         }
 
         @Override
         public void onCollapse(Receiver receiver, long now) {
-            eventLog.add(new Sight(now, What.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0,
+            eventLog.add(new ObservedEvent(now, EventType.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0,
                     0, null, null));
             scheduler.schedule(now, () -> {
                 findHost(receiver).applyReceiverState();
@@ -73,15 +73,15 @@
     }
 
     /** @param probes whether receivers answer probes */
-    public Emulator(Experiment day, Logbook logbook, SocketReactor net, TaskScheduler ticker, boolean probes) throws IOException {
+    public Emulator(Experiment day, EventLog logbook, SocketReactor net, TaskScheduler ticker, boolean probes) throws IOException {
         this.experiment = day;
         this.eventLog = logbook;
         this.reactor = net;
         this.scheduler = ticker;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 31 + 7);
-        long window = day.grades().stream().filter(grade -> grade.effect() == Effect.DEDUPLICATED)
+        long window = day.grades().stream().filter(grade -> grade.effect() == RepeatSemantics.DEDUPLICATED)
                 .mapToLong(grade -> grade.window().micros()).max().orElse(5_000_000);
-        for (Destinations some : day.destinations()) {
+        for (DestinationGroup some : day.destinations()) {
             for (int i = 0; i < some.count(); i++) {
                 EmulatedDestination site = new EmulatedDestination(destinations.size(), some, window);
                 destinations.add(site);
@@ -115,16 +115,16 @@
     }
 
     private void publishState(ReceiverHost host, String state, long bootMillis) {
-        Destinations some = findDestinationGroup(host.destination());
+        DestinationGroup some = findDestinationGroup(host.destination());
         double hint = some.limit() != null && some.limit().rate() != null ? some.limit().rate()
                 : some.limit() != null ? some.limit().count() / some.limit().span().seconds()
                 : some.places() / Math.max(0.001, some.service().mean().seconds());
         registry.publishState(host.receiver().uid(), host, some.kind(), hint, state, bootMillis);
     }
 
-    private Destinations findDestinationGroup(int number) {
+    private DestinationGroup findDestinationGroup(int number) {
         int first = 0;
-        for (Destinations some : experiment.destinations()) {
+        for (DestinationGroup some : experiment.destinations()) {
             first += some.count();
             if (number < first) {
                 return some;
@@ -157,7 +157,7 @@
 
     /** A failure of receivers or discovery begins; what befalls whom is drawn from the seed and the failure alone. */
     public void beginFailure(Failure failure) {
-        if (failure.kind().side() == Side.DISCOVERY) {
+        if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.beginFailure(failure));
             return;
         }
@@ -190,7 +190,7 @@
 
     /** A failure that began here is over. */
     public void endFailure(Failure failure) {
-        if (failure.kind().side() == Side.DISCOVERY) {
+        if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.endFailure(failure));
         } else if (failure.kind() != Kind.DRAIN && failure.kind() != Kind.REPLACE) {
             List<ReceiverHost> struck = findAffectedHosts(failure);
@@ -200,7 +200,7 @@
     }
 
     private List<DiscoveryAgent> findAffectedAgents(Failure failure) {
-        return IntStream.range(0, agents.size()).filter(failure::strikes).mapToObj(agents::get).toList();
+        return IntStream.range(0, agents.size()).filter(failure::affectsNode).mapToObj(agents::get).toList();
     }
 
     /** The same machines each time it is asked. */
--- a/src/main/java/terndyke/lab/emulate/ReceiverHost.java
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -19,9 +19,9 @@
 import terndyke.lab.model.Receiver.ConnectOutcome;
 import terndyke.lab.model.Shot;
 import terndyke.lab.plan.Failure;
-import terndyke.lab.referee.Logbook;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.referee.Sight.What;
+import terndyke.lab.referee.EventLog;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.referee.ObservedEvent.EventType;
 import terndyke.lab.wire.RawHttpConnection;
 import terndyke.lab.wire.RawHttpMessage;
 import terndyke.lab.wire.SocketReactor;
@@ -40,7 +40,7 @@
 
     private final SocketReactor reactor;
     private final TaskScheduler scheduler;
-    private final Logbook eventLog;
+    private final EventLog eventLog;
     private final Object lock;
     private final String hallName;
     private final boolean answersProbes;
@@ -53,7 +53,7 @@
     private boolean addressesOutdated; // its addresses are not yet as it meets connections
     private long nextAdvanceMicros = Long.MAX_VALUE;
 
-    ReceiverHost(SocketReactor net, TaskScheduler ticker, Logbook logbook, Object lock, String hallName, boolean probes) {
+    ReceiverHost(SocketReactor net, TaskScheduler ticker, EventLog logbook, Object lock, String hallName, boolean probes) {
         this.reactor = net;
         this.scheduler = ticker;
         this.eventLog = logbook;
@@ -160,7 +160,7 @@
         synchronized (lock) {
             receiver.beginFailure(TaskScheduler.nowMicros(), failure);
             if (isOutage(failure)) {
-                logEvent(What.OUTAGE, failure.kind().told());
+                logEvent(EventType.OUTAGE, failure.kind().yamlName());
             }
             applyReceiverState();
         }
@@ -170,7 +170,7 @@
         synchronized (lock) {
             receiver.endFailure(TaskScheduler.nowMicros(), failure);
             if (isOutage(failure)) {
-                logEvent(What.BACK, failure.kind().told());
+                logEvent(EventType.BACK, failure.kind().yamlName());
             }
             if (failure.kind() == Failure.Kind.SILENT) {
                 List.copyOf(connections).forEach(RawHttpConnection::reset);
@@ -203,8 +203,8 @@
         scheduleAdvance();
     }
 
-    private void logEvent(What what, String note) {
-        eventLog.add(new Sight(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0, 0, note, null));
+    private void logEvent(EventType what, String note) {
+        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0, 0, note, null));
     }
 
     private void scheduleAdvance() {
@@ -308,18 +308,18 @@
                 Shot shot = new Shot(id, message.header("idempotency-key"), node, this, !hasReceivedCall);
                 hasReceivedCall = true;
                 pendingCall = new PendingCall(number, shot);
-                logEvent(What.CALL, 0, 0, requestStartMicros, Integer.toString(message.body().length));
+                logEvent(EventType.CALL, 0, 0, requestStartMicros, Integer.toString(message.body().length));
                 connectedReceiver.callReceived(TaskScheduler.nowMicros(), shot);
                 scheduleAdvance();
             }
         }
 
-        private void logEvent(What what, int status, long toldWait, long began) {
+        private void logEvent(EventType what, int status, long toldWait, long began) {
             logEvent(what, status, toldWait, began, null);
         }
 
-        private void logEvent(What what, int status, long toldWait, long began, String note) {
-            eventLog.add(new Sight(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber, connectedReceiver.uid(), connectedReceiver.destination().number(),
+        private void logEvent(EventType what, int status, long toldWait, long began, String note) {
+            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber, connectedReceiver.uid(), connectedReceiver.destination().number(),
                     connectedReceiver.hall(), status, toldWait, began, note, null));
         }
 
@@ -328,32 +328,32 @@
                 case NO_RESPONSE -> { }
                 case RESET -> reset();
                 case MALFORMED_STATUS_LINE -> {
-                    logEvent(What.CALL_ANSWERED, 0, 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, 0, 0, 0);
                     pendingCall = null;
                     write("HTP/1.1 2x0 \u0001\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                     close();
                 }
                 case MALFORMED_HEADERS -> {
-                    logEvent(What.CALL_ANSWERED, 200, 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, 200, 0, 0);
                     pendingCall = null;
                     write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002".getBytes(StandardCharsets.ISO_8859_1));
                     close();
                 }
                 case ENDLESS_BODY -> {
-                    logEvent(What.CALL_ANSWERED, 200, 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, 200, 0, 0);
                     pendingCall = null;
                     write("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     scheduler.schedule(TaskScheduler.nowMicros(), () -> continueEndlessBody(0));
                 }
                 case CONNECTION_REJECTED -> {
-                    logEvent(What.CALL_ANSWERED, answer.status(), 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, answer.status(), 0, 0);
                     pendingCall = null;
                     write(RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", "Connection: close\r\n", EMPTY_BODY));
                     close();
                 }
                 default -> {
                     byte[] bytes = encodeResponse(answer);
-                    logEvent(What.CALL_ANSWERED, answer.status(), answer.retryAfterMicros(), 0);
+                    logEvent(EventType.CALL_ANSWERED, answer.status(), answer.retryAfterMicros(), 0);
                     pendingCall = null;
                     write(bytes);
                     if (answer.mode() == Response.ResponseMode.DUPLICATED) {
@@ -400,7 +400,7 @@
                     connectedReceiver.connectionClosed();
                 }
                 if (pendingCall != null) {
-                    logEvent(What.CALL_ENDED, 0, 0, 0);
+                    logEvent(EventType.CALL_ENDED, 0, 0, 0);
                     connectedReceiver.callerDisconnected(pendingCall.shot);
                     pendingCall = null;
                 }
--- a/src/main/java/terndyke/lab/load/EmulatedClients.java
+++ b/src/main/java/terndyke/lab/load/EmulatedClients.java
@@ -14,12 +14,12 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 import terndyke.lab.plan.Experiment;
-import terndyke.lab.plan.Experiment.Effect;
+import terndyke.lab.plan.Experiment.RepeatSemantics;
 import terndyke.lab.plan.Experiment.Grade;
-import terndyke.lab.referee.Handed;
-import terndyke.lab.referee.Logbook;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.referee.Sight.What;
+import terndyke.lab.referee.HandedInRecord;
+import terndyke.lab.referee.EventLog;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.referee.ObservedEvent.EventType;
 import terndyke.lab.wire.RawHttpConnection;
 import terndyke.lab.wire.RawHttpMessage;
 import terndyke.lab.wire.SocketReactor;
@@ -38,7 +38,7 @@
     private final Experiment experiment;
     private final SocketReactor reactor;
     private final TaskScheduler scheduler;
-    private final Logbook eventLog;
+    private final EventLog eventLog;
     private final List<InetSocketAddress> nodeAddresses;
     private final List<String> gradeNames;
     private final List<String> tenantNames;
@@ -87,7 +87,7 @@
         }
     }
 
-    public EmulatedClients(Experiment day, SocketReactor net, TaskScheduler ticker, Logbook logbook, List<InetSocketAddress> nodes) {
+    public EmulatedClients(Experiment day, SocketReactor net, TaskScheduler ticker, EventLog logbook, List<InetSocketAddress> nodes) {
         this.experiment = day;
         this.reactor = net;
         this.scheduler = ticker;
@@ -202,7 +202,7 @@
     private void retryOrFinish(PendingRecord hand, String retry, long toldWait) {
         long at = TaskScheduler.nowMicros() + Math.max(experiment.clients().again().micros(), toldWait);
         boolean again = hand.attempts < experiment.clients().tries() && at < hand.deadlineMicros()
-                && (!"again".equals(retry) || hand.serviceGrade().effect() != Effect.UNREPEATABLE);
+                && (!"again".equals(retry) || hand.serviceGrade().effect() != RepeatSemantics.UNREPEATABLE);
         if (again) {
             hand.clientRetry = retry != null ? retry : hand.clientRetry;
             scheduler.schedule(at, () -> handIn(hand));
@@ -237,7 +237,7 @@
     private final class ClientConnection extends RawHttpConnection {
         private final int node;
         private PendingRecord pendingRecord;
-        private Handed handed;
+        private HandedInRecord handed;
         private boolean hasReceivedResponse;
         private boolean carriesResend;
         private long requestCount;
@@ -246,7 +246,7 @@
             super(session);
             this.node = node;
             this.pendingRecord = hand;
-            handed = new Handed(id, 0, node, 0, 0, null, 0, null, 0, 0, 0, 0, false);
+            handed = new HandedInRecord(id, 0, node, 0, 0, null, 0, null, 0, 0, 0, 0, false);
         }
 
         @Override
@@ -258,8 +258,8 @@
         void sendRequest(PendingRecord one, String id) {
             long now = TaskScheduler.nowMicros();
             long left = Math.max(1, one.deadlineMicros() - now);
-            boolean marked = one.serviceGrade().effect() == Effect.DEDUPLICATED;
-            Handed out = new Handed(id, one.recordNumber, node, one.gradeIndex, one.tenantIndex, one.arrival.key(),
+            boolean marked = one.serviceGrade().effect() == RepeatSemantics.DEDUPLICATED;
+            HandedInRecord out = new HandedInRecord(id, one.recordNumber, node, one.gradeIndex, one.tenantIndex, one.arrival.key(),
                     one.arrival.destination(), marked ? idempotencyKey(one.recordNumber) : null, one.dueMicros, now, left / 1000 * 1000,
                     one.arrival.bytes(), one.extra);
             synchronized (this) {
@@ -267,9 +267,9 @@
                 handed = out;
                 requestCount++;
             }
-            eventLog.add(Sight.client(now, What.HANDED_IN, out, 0, one.clientRetry));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.HANDED_IN, out, 0, one.clientRetry));
             if (!one.extra && drawForeignRequest()) {
-                eventLog.add(Sight.client(now, What.FOREIGN, out, 0, null));
+                eventLog.add(ObservedEvent.ofClient(now, EventType.FOREIGN, out, 0, null));
                 misbehavingClients.sendForeignRequest(node, id, one.arrival);
                 scheduler.schedule(now + FOREIGN_REQUEST_LEAD_MICROS, () -> write(encodeRequest(one, out)));
             } else {
@@ -279,7 +279,7 @@
             scheduler.schedule(now + experiment.clients().patience().micros(), () -> onResponseTimeout(number));
         }
 
-        private byte[] encodeRequest(PendingRecord one, Handed out) {
+        private byte[] encodeRequest(PendingRecord one, HandedInRecord out) {
             StringBuilder fields = new StringBuilder(256).append("Host: app.svc\r\nRequest-Id: ").append(out.id())
                     .append("\r\nTenant: ").append(one.arrival.tenant()).append("\r\nRequest-Timeout-Ms: ")
                     .append(out.timeout() / 1000).append("\r\nX-Consignee: dest=").append(out.destination()).append("\r\n");
@@ -316,14 +316,14 @@
                 }
                 one = takePendingRecord();
             }
-            eventLog.add(Sight.client(TaskScheduler.nowMicros(), What.CLIENT_LEFT, handed, 0, "waited enough"));
+            eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0, "waited enough"));
             reset();
             retryOrFinish(one, "again", 0);
         }
 
         @Override
         protected void onMessage(RawHttpMessage message) {
-            Handed mine = handed;
+            HandedInRecord mine = handed;
             PendingRecord one = takePendingRecord();
             if (one == null) {
                 reset();
@@ -331,7 +331,7 @@
             }
             long now = TaskScheduler.nowMicros();
             int status = message.status();
-            eventLog.add(Sight.client(now, What.ANSWERED, mine, status, null));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.ANSWERED, mine, status, null));
             hasReceivedResponse = true;
             boolean taken = status == 202 || status == 200;
             if (taken) {
@@ -370,18 +370,18 @@
             synchronized (EmulatedClients.this) {
                 idleConnections.get(node).remove(this);
             }
-            Handed mine = handed;
+            HandedInRecord mine = handed;
             PendingRecord one = takePendingRecord();
             if (one == null) {
                 return;
             }
             long now = TaskScheduler.nowMicros();
             if (hasReceivedResponse && !carriesResend && now - mine.sent() < CLOSE_RACE_WINDOW_MICROS) { // the closing crossed the request
-                eventLog.add(Sight.client(now, What.SENT_ONCE_MORE, mine, 0, null));
+                eventLog.add(ObservedEvent.ofClient(now, EventType.SENT_ONCE_MORE, mine, 0, null));
                 resend(one, mine.id());
                 return;
             }
-            eventLog.add(Sight.client(now, What.BROKEN, mine, 0, hasReceivedResponse ? "owed" : "first request of its connection"));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.BROKEN, mine, 0, hasReceivedResponse ? "owed" : "first request of its connection"));
             retryOrFinish(one, "again", 0);
         }
 
@@ -393,7 +393,7 @@
                 return side;
             }, () -> {
                 connectionCounts[node].decrementAndGet();
-                eventLog.add(Sight.client(TaskScheduler.nowMicros(), What.CLIENT_LEFT, handed, 0, "its second connection never came up"));
+                eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0, "its second connection never came up"));
                 retryOrFinish(one, "again", 0);
             });
         }
--- a/src/main/java/terndyke/lab/load/MisbehavingClients.java
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -41,7 +41,7 @@
     /** Lets such clients loose until a time. */
     public void beginFailure(Failure failure, long until) {
         for (int node = 0; node < nodeAddresses.size(); node++) {
-            if (failure.strikes(node)) {
+            if (failure.affectsNode(node)) {
                 int many = (int) Math.round(failure.amount());
                 switch (failure.kind()) {
                     case TRICKLE, MUTE -> {
--- a/src/main/java/terndyke/lab/load/ScheduleGenerator.java
+++ b/src/main/java/terndyke/lab/load/ScheduleGenerator.java
@@ -9,15 +9,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 import terndyke.lab.plan.Experiment;
-import terndyke.lab.plan.Experiment.Destinations;
+import terndyke.lab.plan.Experiment.DestinationGroup;
 import terndyke.lab.plan.Experiment.Grade;
-import terndyke.lab.plan.Experiment.Load;
+import terndyke.lab.plan.Experiment.LoadProfile;
 import terndyke.lab.plan.Experiment.Tenant;
 
 /** Draws a day's records before it begins: the same seed gives the same ones, whatever the answers will be. */
 public final class ScheduleGenerator {
     private final Experiment experiment;
-    private final Load load;
+    private final LoadProfile load;
     private final UniformRandomProvider random;
     private final double lengthSeconds;
 
@@ -35,13 +35,13 @@
     private List<Arrival> generateArrivals() {
         double[] grades = cumulativeShares(experiment.grades(), Grade::share);
         double[] tenants = cumulativeShares(experiment.tenants(), Tenant::share);
-        List<Destinations> kinds = new ArrayList<>();
+        List<DestinationGroup> kinds = new ArrayList<>();
         experiment.destinations().forEach(some -> {
             for (int i = 0; i < some.count(); i++) {
                 kinds.add(some);
             }
         });
-        double[] destinations = cumulativeShares(kinds, Destinations::share);
+        double[] destinations = cumulativeShares(kinds, DestinationGroup::share);
         List<Arrival> arrivals = new ArrayList<>();
         for (double due : generateDueSeconds()) {
             Grade grade = experiment.grades().get(drawIndex(grades));
@@ -58,7 +58,7 @@
     /** Seconds since the start, in order. */
     private List<Double> generateDueSeconds() {
         List<Double> times = new ArrayList<>();
-        if (load.shape() == Load.Shape.CONSTANT) {
+        if (load.shape() == LoadProfile.Shape.CONSTANT) {
             int count = (int) Math.round(load.rate() * lengthSeconds);
             for (int i = 0; i < count; i++) {
                 times.add(i / load.rate());
@@ -67,7 +67,7 @@
         }
         double most = Math.max(load.rate(), load.peak());
         double at = 0;
-        if (load.shape() == Load.Shape.CLUMPS) {
+        if (load.shape() == LoadProfile.Shape.CLUMPS) {
             while ((at += drawExponential(load.rate() / load.clump())) < lengthSeconds) {
                 for (int i = 0; i < load.clump(); i++) {
                     times.add(at);
--- a/src/main/java/terndyke/lab/load/TraceFile.java
+++ b/src/main/java/terndyke/lab/load/TraceFile.java
@@ -18,7 +18,7 @@
 import com.github.luben.zstd.ZstdInputStream;
 import com.github.luben.zstd.ZstdOutputStream;
 
-import terndyke.lab.plan.BadInput;
+import terndyke.lab.plan.UserInputException;
 import terndyke.lab.plan.Experiment;
 
 /** A recorded schedule: JSON lines, one arrival a line, compressed by zstd where the name ends in .zst. */
@@ -40,7 +40,7 @@
     }
 
     /** Reads a trace for a day; every line that does not fit it is told. */
-    public static List<Arrival> read(Path file, Experiment day) throws BadInput {
+    public static List<Arrival> read(Path file, Experiment day) throws UserInputException {
         List<Arrival> arrivals = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         try (InputStream in = Files.newInputStream(file);
@@ -63,10 +63,10 @@
                 }
             }
         } catch (IOException e) {
-            throw new BadInput(file + ": cannot be read: " + e.getMessage());
+            throw new UserInputException(file + ": cannot be read: " + e.getMessage());
         }
         if (!faults.isEmpty()) {
-            throw new BadInput(faults);
+            throw new UserInputException(faults);
         }
         return arrivals;
     }
--- a/src/main/java/terndyke/lab/model/EmulatedDestination.java
+++ b/src/main/java/terndyke/lab/model/EmulatedDestination.java
@@ -5,18 +5,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-import terndyke.lab.plan.Experiment.Destinations;
+import terndyke.lab.plan.Experiment.DestinationGroup;
 
 /** One destination: its receivers, the limit they share, and what each hall remembers of carried-out marks. */
 public final class EmulatedDestination {
     final int number;
-    final Destinations configuration;
+    final DestinationGroup configuration;
     final long deduplicationWindowMicros;
     private final RateLimiter sharedRateLimiter;
     private final Map<Integer, Map<String, Long>> executionTimesByHall = new HashMap<>();
 
     /** @param window how long a hall drops repeats of a mark, in microseconds */
-    public EmulatedDestination(int number, Destinations told, long window) {
+    public EmulatedDestination(int number, DestinationGroup told, long window) {
         this.number = number;
         this.configuration = told;
         this.deduplicationWindowMicros = window;
--- a/src/main/java/terndyke/lab/model/RateLimiter.java
+++ b/src/main/java/terndyke/lab/model/RateLimiter.java
@@ -1,17 +1,17 @@
 package terndyke.lab.model;
 
-import terndyke.lab.plan.Experiment.Limit;
+import terndyke.lab.plan.Experiment.RateLimit;
 
 /** The calls that one limit lets through: a rate with a burst, or a count in each span of the clock. */
 final class RateLimiter {
-    private final Limit limit;
+    private final RateLimit limit;
     private final double burst;
     private double tokens;
     private long lastRefillMicros = Long.MIN_VALUE;
     private long windowStartMicros;
     private int usedInWindow;
 
-    RateLimiter(Limit limit) {
+    RateLimiter(RateLimit limit) {
         this.limit = limit;
         burst = limit == null || limit.rate() == null ? 0
                 : limit.burst() != null ? limit.burst() : Math.max(1, limit.rate() / 4);
--- a/src/main/java/terndyke/lab/model/ServiceTime.java
+++ b/src/main/java/terndyke/lab/model/ServiceTime.java
@@ -7,15 +7,15 @@
 import org.apache.commons.statistics.distribution.ExponentialDistribution;
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
-import terndyke.lab.plan.Experiment.Service;
-import terndyke.lab.plan.Span;
+import terndyke.lab.plan.Experiment.ServiceTimeDistribution;
+import terndyke.lab.plan.TimeSpan;
 
 /** Draws how long a call's work takes, in whole microseconds. */
 public interface ServiceTime {
     long sampleMicros();
 
     /** The distribution that an experiment names; spread is the share that varies (shifted), or sigma (lognormal). */
-    static ServiceTime of(Service told, UniformRandomProvider chance) {
+    static ServiceTime of(ServiceTimeDistribution told, UniformRandomProvider chance) {
         double mean = told.mean().micros();
         return switch (told.shape()) {
             case FIXED -> () -> (long) mean;
@@ -27,7 +27,7 @@
             case LOGNORMAL -> fromDistribution(LogNormalDistribution.of(Math.log(Math.max(1, mean))
                     - told.spread() * told.spread() / 2, told.spread()), 0, chance);
             case SAMPLE -> {
-                List<Span> sample = told.sample();
+                List<TimeSpan> sample = told.sample();
                 yield () -> sample.get(chance.nextInt(sample.size())).micros();
             }
         };
--- a/src/main/java/terndyke/lab/plan/ExperimentFile.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentFile.java
@@ -34,95 +34,95 @@
             new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER)
                     .enable(YAMLGenerator.Feature.MINIMIZE_QUOTES));
 
-    private static final JsonNode SCHEMA = schema();
-    private static final Schema CHECK = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
+    private static final JsonNode SCHEMA = loadSchema();
+    private static final Schema VALIDATOR = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(SCHEMA);
 
     private ExperimentFile() { }
 
-    public static Experiment read(Path file) throws BadInput {
+    public static Experiment read(Path file) throws UserInputException {
         return read(file, Map.of());
     }
 
     /** Reads a file with some fields set otherwise, by paths such as nodes.slots or failures.0.at. */
-    public static Experiment read(Path file, Map<String, String> set) throws BadInput {
+    public static Experiment read(Path file, Map<String, String> set) throws UserInputException {
         try {
             return read(file.toString(), Files.readString(file), set);
         } catch (IOException e) {
-            throw new BadInput(file + ": cannot be read: " + e.getMessage());
+            throw new UserInputException(file + ": cannot be read: " + e.getMessage());
         }
     }
 
     /** Reads a text; the name stands in front of each fault. */
-    public static Experiment read(String name, String text) throws BadInput {
+    public static Experiment read(String name, String text) throws UserInputException {
         return read(name, text, Map.of());
     }
 
-    private static Experiment read(String name, String text, Map<String, String> set) throws BadInput {
+    private static Experiment read(String name, String text, Map<String, String> set) throws UserInputException {
         Map<String, JsonLocation> places = new HashMap<>();
         JsonNode tree;
         try (JsonParser parser = YAML.getFactory().createParser(text)) {
             if (parser.nextToken() == null) {
-                throw new BadInput(name + ": the file is empty");
+                throw new UserInputException(name + ": the file is empty");
             }
-            tree = tree(parser, "", places);
+            tree = parseTree(parser, "", places);
         } catch (JsonProcessingException e) {
-            throw new BadInput(name + ":" + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()) + ": no YAML: "
+            throw new UserInputException(name + ":" + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()) + ": no YAML: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new BadInput(name + ": " + e.getMessage());
+            throw new UserInputException(name + ": " + e.getMessage());
         }
         for (Map.Entry<String, String> one : set.entrySet()) {
-            put(tree, one.getKey(), one.getValue());
+            setField(tree, one.getKey(), one.getValue());
         }
         Map<Integer, List<String>> faults = new TreeMap<>();
-        for (Error error : CHECK.validate(tree)) {
+        for (Error error : VALIDATOR.validate(tree)) {
             String at = error.getInstanceLocation().toString();
             String field = error.getProperty() != null ? at + "/" + error.getProperty() : at;
-            add(faults, name, places, field, words(error, tree.at(at)));
+            addError(faults, name, places, field, describeError(error, tree.at(at)));
         }
         Experiment day = null;
         if (faults.isEmpty()) {
             try {
                 day = JSON.treeToValue(tree, Experiment.class);
-                for (Map.Entry<String, String> one : day.contradictions().entrySet()) {
-                    add(faults, name, places, one.getKey(), one.getValue());
+                for (Map.Entry<String, String> one : day.findInconsistencies().entrySet()) {
+                    addError(faults, name, places, one.getKey(), one.getValue());
                 }
             } catch (JsonProcessingException | IllegalArgumentException e) {
-                add(faults, name, places, "", e.getMessage());
+                addError(faults, name, places, "", e.getMessage());
             }
         }
         if (!faults.isEmpty()) {
-            throw new BadInput(faults.values().stream().flatMap(List::stream).toList());
+            throw new UserInputException(faults.values().stream().flatMap(List::stream).toList());
         }
         return day;
     }
 
     /** What stands under a name; an object where nothing did. */
-    private static JsonNode inner(ObjectNode object, String name) {
+    private static JsonNode getOrCreateObject(ObjectNode object, String name) {
         return object.has(name) ? object.get(name) : object.putObject(name);
     }
 
-    private static void put(JsonNode tree, String path, String value) throws BadInput {
+    private static void setField(JsonNode tree, String path, String value) throws UserInputException {
         String[] parts = path.split("\\.");
         JsonNode at = tree;
         try {
             JsonNode told = YAML.readTree(value);
             for (int i = 0; i < parts.length - 1; i++) {
-                at = at instanceof ObjectNode object ? inner(object, parts[i]) : at.path(Integer.parseInt(parts[i]));
+                at = at instanceof ObjectNode object ? getOrCreateObject(object, parts[i]) : at.path(Integer.parseInt(parts[i]));
             }
             if (at instanceof ObjectNode object) {
                 object.set(parts[parts.length - 1], told);
             } else if (at instanceof ArrayNode array) {
                 array.set(Integer.parseInt(parts[parts.length - 1]), told);
             } else {
-                throw new BadInput("--set " + path + ": there is no such place");
+                throw new UserInputException("--set " + path + ": there is no such place");
             }
         } catch (IOException | RuntimeException e) {
-            throw new BadInput("--set " + path + "=" + value + ": " + e.getMessage());
+            throw new UserInputException("--set " + path + "=" + value + ": " + e.getMessage());
         }
     }
 
-    public static String write(Experiment day) {
+    public static String toYaml(Experiment day) {
         try {
             return YAML.writeValueAsString(day);
         } catch (JsonProcessingException e) {
@@ -130,11 +130,11 @@
         }
     }
 
-    public static JsonNode schemaText() {
+    public static JsonNode jsonSchema() {
         return SCHEMA;
     }
 
-    private static JsonNode schema() {
+    private static JsonNode loadSchema() {
         try (InputStream in = ExperimentFile.class.getResourceAsStream("/terndyke/lab/experiment.schema.json")) {
             return JSON.readTree(in);
         } catch (IOException e) {
@@ -142,24 +142,24 @@
         }
     }
 
-    private static String words(Error error, JsonNode found) {
+    private static String describeError(Error error, JsonNode found) {
         return switch (error.getKeyword()) {
-            case "additionalProperties", "unevaluatedProperties" -> "unknown field" + near(error);
+            case "additionalProperties", "unevaluatedProperties" -> "unknown field" + suggestNearestName(error);
             case "required" -> "is missing";
-            case "type" -> "found " + found.getNodeType().name().toLowerCase(java.util.Locale.ROOT) + " " + shown(found)
+            case "type" -> "found " + found.getNodeType().name().toLowerCase(java.util.Locale.ROOT) + " " + abbreviate(found)
                     + ", allowed: " + error.getSchemaNode().asText();
-            case "enum" -> "found " + shown(found) + ", allowed: " + shown(error.getSchemaNode());
-            case "pattern" -> "found " + shown(found) + ", allowed: a time such as 250ms, 1.5s or 2m";
-            default -> "found " + shown(found) + ": " + error.getMessage();
+            case "enum" -> "found " + abbreviate(found) + ", allowed: " + abbreviate(error.getSchemaNode());
+            case "pattern" -> "found " + abbreviate(found) + ", allowed: a time such as 250ms, 1.5s or 2m";
+            default -> "found " + abbreviate(found) + ": " + error.getMessage();
         };
     }
 
     /** The known name that is nearest to an unknown one, where one is near. */
-    private static String near(Error error) {
+    private static String suggestNearestName(Error error) {
         String best = null;
         int distance = 4;
-        for (String name : known()) {
-            int far = distance(name, error.getProperty());
+        for (String name : knownFieldNames()) {
+            int far = editDistance(name, error.getProperty());
             if (far < distance) {
                 distance = far;
                 best = name;
@@ -168,13 +168,13 @@
         return best == null ? "" : "; nearest known: " + best;
     }
 
-    private static List<String> known() {
+    private static List<String> knownFieldNames() {
         List<String> names = new ArrayList<>();
         SCHEMA.findValues("properties").forEach(each -> each.fieldNames().forEachRemaining(names::add));
         return names;
     }
 
-    private static int distance(String a, String b) {
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
@@ -191,12 +191,12 @@
         return row[b.length()];
     }
 
-    private static String shown(JsonNode node) {
+    private static String abbreviate(JsonNode node) {
         String text = node.toString();
         return text.length() <= 60 ? text : text.substring(0, 60) + "...";
     }
 
-    private static void add(Map<Integer, List<String>> faults, String name, Map<String, JsonLocation> places,
+    private static void addError(Map<Integer, List<String>> faults, String name, Map<String, JsonLocation> places,
             String field, String words) {
         String at = field;
         while (!places.containsKey(at) && at.contains("/")) {
@@ -208,7 +208,7 @@
                 + (field.isEmpty() ? "the file" : field.substring(1).replace('/', '.')) + ": " + words);
     }
 
-    private static JsonNode tree(JsonParser parser, String at, Map<String, JsonLocation> places) throws IOException {
+    private static JsonNode parseTree(JsonParser parser, String at, Map<String, JsonLocation> places) throws IOException {
         places.putIfAbsent(at, parser.currentTokenLocation());
         switch (parser.currentToken()) {
             case START_OBJECT -> {
@@ -217,14 +217,14 @@
                     String name = parser.currentName();
                     places.put(at + "/" + name, parser.currentTokenLocation());
                     parser.nextToken();
-                    object.set(name, tree(parser, at + "/" + name, places));
+                    object.set(name, parseTree(parser, at + "/" + name, places));
                 }
                 return object;
             }
             case START_ARRAY -> {
                 ArrayNode array = JsonNodeFactory.instance.arrayNode();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(tree(parser, at + "/" + array.size(), places));
+                    array.add(parseTree(parser, at + "/" + array.size(), places));
                 }
                 return array;
             }
--- a/src/main/java/terndyke/lab/plan/Drawer.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentGenerator.java
@@ -8,37 +8,37 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 import terndyke.lab.plan.Failure.Kind;
-import terndyke.lab.plan.Failure.Side;
+import terndyke.lab.plan.Failure.TargetType;
 import terndyke.lab.plan.Failure.Target;
 
 /** Draws random days: one to five failures of any kind, alone or together, on a given base. The seed decides all. */
-public final class Drawer {
-    private static final int MOST = 5;
+public final class ExperimentGenerator {
+    private static final int MAX_FAILURES = 5;
 
-    private Drawer() { }
+    private ExperimentGenerator() { }
 
-    public static Experiment draw(Experiment base, long seed) {
+    public static Experiment generate(Experiment base, long seed) {
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7919 + 11);
-        int count = 1 + chance.nextInt(MOST);
+        int count = 1 + chance.nextInt(MAX_FAILURES);
         List<Failure> failures = new ArrayList<>();
-        long together = at(base, chance); // half of a day's failures meet here
+        long together = drawTimeMicros(base, chance); // half of a day's failures meet here
         for (int i = 0; i < count; i++) {
             Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
-            long at = chance.nextBoolean() ? together : at(base, chance);
-            Span lasts = Span.ofMillis(500 + chance.nextInt((int) Math.max(1, base.length().millis() / 3)));
-            failures.add(new Failure(kind, new Span(at / 1000 * 1000), lasts, null, target(base, kind, chance)));
+            long at = chance.nextBoolean() ? together : drawTimeMicros(base, chance);
+            TimeSpan lasts = TimeSpan.ofMillis(500 + chance.nextInt((int) Math.max(1, base.length().millis() / 3)));
+            failures.add(new Failure(kind, new TimeSpan(at / 1000 * 1000), lasts, null, drawTarget(base, kind, chance)));
         }
         failures.sort(Comparator.comparing(Failure::at));
         return base.with(base.name() + "-drawn-" + seed, "drawn from seed " + seed, seed, base.length(), failures);
     }
 
-    private static long at(Experiment base, UniformRandomProvider chance) {
+    private static long drawTimeMicros(Experiment base, UniformRandomProvider chance) {
         return Math.round(base.length().micros() * (0.1 + 0.6 * chance.nextDouble()));
     }
 
-    private static Target target(Experiment base, Kind kind, UniformRandomProvider chance) {
-        if (kind.side() != Side.RECEIVER) {
-            return new Target(null, null, null, null, kind.side() == Side.NODE || chance.nextBoolean()
+    private static Target drawTarget(Experiment base, Kind kind, UniformRandomProvider chance) {
+        if (kind.targetType() != TargetType.RECEIVER) {
+            return new Target(null, null, null, null, kind.targetType() == TargetType.NODE || chance.nextBoolean()
                     ? List.of(chance.nextInt(base.nodes().count())) : null, null);
         }
         return switch (chance.nextInt(4)) {
--- a/src/main/java/terndyke/lab/plan/Shrinker.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentShrinker.java
@@ -9,33 +9,33 @@
  * does, then the day and the failures become shorter. A day counts as failing only if it fails in every one of a number
  * of tries, since real nodes do not repeat themselves.
  */
-public final class Shrinker {
-    private static final long SHORTEST = 1_000_000;
+public final class ExperimentShrinker {
+    private static final long MIN_LENGTH_MICROS = 1_000_000;
 
-    private final Fails fails;
+    private final FailureCheck failureCheck;
     private final int tries;
-    private final Consumer<String> told;
-    private int played;
+    private final Consumer<String> progressListener;
+    private int runCount;
 
     /** Plays a day and says whether it fails. */
-    public interface Fails {
+    public interface FailureCheck {
         boolean test(Experiment day) throws Exception;
     }
 
-    public Shrinker(Fails fails, int tries, Consumer<String> told) {
-        this.fails = fails;
+    public ExperimentShrinker(FailureCheck fails, int tries, Consumer<String> told) {
+        this.failureCheck = fails;
         this.tries = tries;
-        this.told = told;
+        this.progressListener = told;
     }
 
-    public int played() {
-        return played;
+    public int runCount() {
+        return runCount;
     }
 
-    private boolean fails(Experiment day) throws Exception {
+    private boolean failsInEveryTry(Experiment day) throws Exception {
         for (int i = 0; i < tries; i++) {
-            played++;
-            if (!fails.test(day)) {
+            runCount++;
+            if (!failureCheck.test(day)) {
                 return false;
             }
         }
@@ -44,15 +44,15 @@
 
     /** The shortest day found that still fails; the day itself where nothing can go, null where it does not fail. */
     public Experiment shrink(Experiment day) throws Exception {
-        if (!fails(day)) {
+        if (!failsInEveryTry(day)) {
             return null;
         }
-        Experiment least = fewer(day);
-        least = shorter(least);
-        return briefer(least);
+        Experiment least = removeFailures(day);
+        least = shortenExperiment(least);
+        return shortenFailures(least);
     }
 
-    private Experiment fewer(Experiment day) throws Exception {
+    private Experiment removeFailures(Experiment day) throws Exception {
         Experiment least = day;
         for (int parts = 2; !least.failures().isEmpty();) {
             List<Failure> all = least.failures();
@@ -62,8 +62,8 @@
                 List<Failure> rest = new ArrayList<>(all.subList(0, from));
                 rest.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
                 Experiment smaller = least.withFailures(rest);
-                if (fails(smaller)) {
-                    told.accept("fails with " + rest.size() + " of " + all.size() + " failures");
+                if (failsInEveryTry(smaller)) {
+                    progressListener.accept("fails with " + rest.size() + " of " + all.size() + " failures");
                     least = smaller;
                     went = true;
                 }
@@ -76,32 +76,32 @@
         return least;
     }
 
-    private Experiment shorter(Experiment day) throws Exception {
+    private Experiment shortenExperiment(Experiment day) throws Exception {
         Experiment least = day;
-        while (least.length().micros() / 2 >= SHORTEST) {
-            Experiment half = least.withLength(new Span(least.length().micros() / 2 / 1000 * 1000));
-            if (!fails(half)) {
+        while (least.length().micros() / 2 >= MIN_LENGTH_MICROS) {
+            Experiment half = least.withLength(new TimeSpan(least.length().micros() / 2 / 1000 * 1000));
+            if (!failsInEveryTry(half)) {
                 return least;
             }
-            told.accept("fails within " + half.length());
+            progressListener.accept("fails within " + half.length());
             least = half;
         }
         return least;
     }
 
-    private Experiment briefer(Experiment day) throws Exception {
+    private Experiment shortenFailures(Experiment day) throws Exception {
         Experiment least = day;
         for (int i = 0; i < least.failures().size(); i++) {
             while (least.failures().get(i).lasts().micros() / 2 >= 100_000) {
                 Failure failure = least.failures().get(i);
                 List<Failure> changed = new ArrayList<>(least.failures());
                 changed.set(i, new Failure(failure.kind(), failure.at(),
-                        new Span(failure.lasts().micros() / 2 / 1000 * 1000), failure.amount(), failure.on()));
-                if (!fails(least.withFailures(changed))) {
+                        new TimeSpan(failure.lasts().micros() / 2 / 1000 * 1000), failure.amount(), failure.on()));
+                if (!failsInEveryTry(least.withFailures(changed))) {
                     break;
                 }
                 least = least.withFailures(changed);
-                told.accept("fails with " + failure.kind().told() + " for " + changed.get(i).lasts());
+                progressListener.accept("fails with " + failure.kind().yamlName() + " for " + changed.get(i).lasts());
             }
         }
         return least;
--- a/src/main/java/terndyke/lab/plan/Span.java
+++ b/src/main/java/terndyke/lab/plan/TimeSpan.java
@@ -8,13 +8,13 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /** A time as people write it (250ms, 1.5s, 2m), held in whole microseconds. */
-public record Span(long micros) implements Comparable<Span> {
-    public static final Span ZERO = new Span(0);
-    private static final Pattern PARTS = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|m)");
+public record TimeSpan(long micros) implements Comparable<TimeSpan> {
+    public static final TimeSpan ZERO = new TimeSpan(0);
+    private static final Pattern FORMAT = Pattern.compile("(\\d+(?:\\.\\d+)?)(us|ms|s|m)");
 
     @JsonCreator
-    public static Span of(String text) {
-        Matcher parts = PARTS.matcher(text);
+    public static TimeSpan of(String text) {
+        Matcher parts = FORMAT.matcher(text);
         if (!parts.matches()) {
             throw new IllegalArgumentException(text + " is no time such as 250ms, 1.5s or 2m");
         }
@@ -24,11 +24,11 @@
             case "s" -> 1_000_000;
             default -> 60_000_000;
         };
-        return new Span(new BigDecimal(parts.group(1)).multiply(BigDecimal.valueOf(unit)).longValue());
+        return new TimeSpan(new BigDecimal(parts.group(1)).multiply(BigDecimal.valueOf(unit)).longValue());
     }
 
-    public static Span ofMillis(long millis) {
-        return new Span(millis * 1000);
+    public static TimeSpan ofMillis(long millis) {
+        return new TimeSpan(millis * 1000);
     }
 
     public double seconds() {
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public int compareTo(Span other) {
+    public int compareTo(TimeSpan other) {
         return Long.compare(micros, other.micros);
     }
 }
--- a/src/main/java/terndyke/lab/referee/Sight.java
+++ b/src/main/java/terndyke/lab/referee/ObservedEvent.java
@@ -7,11 +7,11 @@
  * microseconds since the day's start. Never taken from a node's own log.
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
-public record Sight(long at, What what, int node, String id, long call, String uid, int destination, int hall,
-        int status, long toldWait, long began, String note, Handed handed) {
+public record ObservedEvent(long at, EventType what, int node, String id, long call, String uid, int destination, int hall,
+        int status, long toldWait, long began, String note, HandedInRecord handed) {
 
     /** What was seen. */
-    public enum What {
+    public enum EventType {
         /** A client wrote the last byte of a record. */
         HANDED_IN,
         /** A foreign request under the id of this record went ahead of it. */
@@ -49,19 +49,19 @@
     }
 
     /** Of a record, seen by a client. */
-    public static Sight client(long at, What what, Handed handed, int status, String note) {
-        return new Sight(at, what, handed.node(), handed.id(), 0, null, handed.destination(), 0, status, 0, 0, note,
-                what == What.HANDED_IN ? handed : null);
+    public static ObservedEvent ofClient(long at, EventType what, HandedInRecord handed, int status, String note) {
+        return new ObservedEvent(at, what, handed.node(), handed.id(), 0, null, handed.destination(), 0, status, 0, 0, note,
+                what == EventType.HANDED_IN ? handed : null);
     }
 
     /** Of a node's process. */
-    public static Sight process(long at, What what, int node, String note) {
-        return new Sight(at, what, node, null, 0, null, 0, 0, 0, 0, 0, note, null);
+    public static ObservedEvent ofNodeProcess(long at, EventType what, int node, String note) {
+        return new ObservedEvent(at, what, node, null, 0, null, 0, 0, 0, 0, 0, note, null);
     }
 
     /** Of a state in a list. */
-    public static Sight listed(long at, What what, int node, String uid, int status) {
-        return new Sight(at, what, node, null, 0, uid, 0, 0, status, 0, 0, null, null);
+    public static ObservedEvent ofListEntry(long at, EventType what, int node, String uid, int status) {
+        return new ObservedEvent(at, what, node, null, 0, uid, 0, 0, status, 0, 0, null, null);
     }
 
     /** One line for people. */
--- a/src/main/java/terndyke/lab/referee/Rules.java
+++ b/src/main/java/terndyke/lab/referee/RuleParameters.java
@@ -5,20 +5,20 @@
 import terndyke.lab.plan.Experiment;
 
 /** The figures of the six rules, and the tolerance of sockets on each. Times are microseconds. */
-public record Rules(List<Grade> grades, boolean copies, long stopWithin, long fallWithin, long keyQuiet, List<Boolean> apart,
-        long slack, long noticeSlack, long afterRestart, long waitGrace, long toldAtLast) {
+public record RuleParameters(List<Grade> grades, boolean copiesAllowed, long stopSendingWithinMicros, long overloadWindowMicros, long keyQuietMicros, List<Boolean> independentRoutesByDestination,
+        long toleranceMicros, long noticeToleranceMicros, long restartGraceMicros, long retryAfterGraceMicros, long listChangeDeadlineMicros) {
 
     /** What the rules need of a service grade. */
-    public record Grade(Experiment.Effect effect, boolean everywhere, long window, boolean inOrder) { }
+    public record Grade(Experiment.RepeatSemantics repeatSemantics, boolean deduplicatedAcrossHalls, long deduplicationWindowMicros, boolean inOrder) { }
 
-    public static Rules of(Experiment day) {
+    public static RuleParameters of(Experiment day) {
         List<Boolean> apart = new java.util.ArrayList<>();
         day.destinations().forEach(some -> {
             for (int i = 0; i < some.count(); i++) {
                 apart.add(some.apart());
             }
         });
-        return new Rules(day.grades().stream().map(grade -> new Grade(grade.effect(), grade.everywhere(),
+        return new RuleParameters(day.grades().stream().map(grade -> new Grade(grade.effect(), grade.everywhere(),
                 grade.window().micros(), grade.inOrder())).toList(), day.nodes().copies(), 2_000_000, 2_000_000, 100_000,
                 apart, 50_000, 300_000, 1_500_000, 100_000, 6_000_000);
     }
--- a/src/main/java/terndyke/lab/report/Comparison.java
+++ b/src/main/java/terndyke/lab/report/Comparison.java
@@ -14,64 +14,64 @@
  * Two sides on the same seeds. Their differences pair by pair say whether one is better: the seeds' own differences,
  * which are large, cancel out.
  */
-public record Comparison(String figure, double[] a, double[] b) {
-    private static final double SURE = 0.05;
+public record Comparison(String metric, double[] valuesA, double[] valuesB) {
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     public double meanA() {
-        return mean(a);
+        return mean(valuesA);
     }
 
     public double meanB() {
-        return mean(b);
+        return mean(valuesB);
     }
 
     private static double mean(double[] figures) {
         return DoubleStatistics.of(java.util.EnumSet.of(Statistic.MEAN), figures).getAsDouble(Statistic.MEAN);
     }
 
-    static double deviation(double[] figures) {
+    static double standardDeviation(double[] figures) {
         return figures.length < 2 ? 0 : DoubleStatistics.of(java.util.EnumSet.of(Statistic.STANDARD_DEVIATION), figures)
                 .getAsDouble(Statistic.STANDARD_DEVIATION);
     }
 
     /** The chance that no difference would look at least like this one; 1 where there are too few pairs to tell. */
-    public double chance() {
+    public double pValue() {
         double[] differences = differences();
         if (differences.length < 3) {
             return 1;
         }
-        if (deviation(differences) < 1e-12) {
+        if (standardDeviation(differences) < 1e-12) {
             return Math.abs(mean(differences)) < 1e-12 ? 1 : 0;
         }
-        return TTest.withDefaults().with(AlternativeHypothesis.TWO_SIDED).pairedTest(a, b).getPValue();
+        return TTest.withDefaults().with(AlternativeHypothesis.TWO_SIDED).pairedTest(valuesA, valuesB).getPValue();
     }
 
     /** The same by ranks, which a single wild day cannot carry. */
-    public double chanceByRank() {
+    public double rankTestPValue() {
         double[] differences = differences();
-        if (differences.length < 5 || deviation(differences) < 1e-12) {
-            return chance();
+        if (differences.length < 5 || standardDeviation(differences) < 1e-12) {
+            return pValue();
         }
         return WilcoxonSignedRankTest.withDefaults().test(differences).getPValue();
     }
 
     private double[] differences() {
-        double[] differences = new double[a.length];
-        java.util.Arrays.setAll(differences, i -> b[i] - a[i]);
+        double[] differences = new double[valuesA.length];
+        java.util.Arrays.setAll(differences, i -> valuesB[i] - valuesA[i]);
         return differences;
     }
 
-    public boolean moreThanNoise() {
-        return chance() < SURE;
+    public boolean isSignificant() {
+        return pValue() < SIGNIFICANCE_LEVEL;
     }
 
-    public String words() {
+    public String describe() {
         double[] differences = differences();
         return String.format(Locale.ROOT, "%s: A %.3f (spread %.3f), B %.3f (spread %.3f), B - A %+.3f (spread %.3f), %s "
-                + "(p %.3f by means%s, %d pairs)", figure, meanA(), deviation(a), meanB(), deviation(b),
-                mean(differences), deviation(differences), a.length < 3 ? "too few pairs to tell"
-                : moreThanNoise() ? "more than noise" : "no more than noise", chance(),
-                a.length < 5 ? "" : String.format(Locale.ROOT, ", %.3f by ranks", chanceByRank()), a.length);
+                + "(p %.3f by means%s, %d pairs)", metric, meanA(), standardDeviation(valuesA), meanB(), standardDeviation(valuesB),
+                mean(differences), standardDeviation(differences), valuesA.length < 3 ? "too few pairs to tell"
+                : isSignificant() ? "more than noise" : "no more than noise", pValue(),
+                valuesA.length < 5 ? "" : String.format(Locale.ROOT, ", %.3f by ranks", rankTestPValue()), valuesA.length);
     }
 
     /** For each figure that two lists of summaries share, in order. */
--- a/src/main/java/terndyke/lab/report/Report.java
+++ b/src/main/java/terndyke/lab/report/ReportWriter.java
@@ -19,39 +19,39 @@
 
 import terndyke.lab.plan.ExperimentFile;
 import terndyke.lab.referee.Breach;
-import terndyke.lab.referee.Handed;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.run.Outcome;
+import terndyke.lab.referee.HandedInRecord;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.run.ExperimentResult;
 
 /** Leaves a day's folder: the experiment, its summary, histograms, events, breaches, and a page that stands alone. */
-public final class Report {
+public final class ReportWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String STYLE = "body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;color:#222}"
+    private static final String CSS = "body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;color:#222}"
             + "table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:left}"
             + "pre{background:#f6f6f6;padding:.8em;overflow:auto}img{max-width:100%}.bad{color:#b00020}.good{color:#1b6e2a}";
 
-    private Report() { }
+    private ReportWriter() { }
 
     /** Writes all of it, and returns the summary. */
-    public static JsonNode write(Outcome outcome, Path folder, PrintStream out) throws IOException {
+    public static JsonNode write(ExperimentResult outcome, Path folder, PrintStream out) throws IOException {
         Files.createDirectories(folder);
         Summary summary = new Summary(outcome);
-        ObjectNode json = summary.json();
-        Files.writeString(folder.resolve("experiment.yaml"), ExperimentFile.write(outcome.day()));
+        ObjectNode json = summary.toJson();
+        Files.writeString(folder.resolve("experiment.yaml"), ExperimentFile.toYaml(outcome.experiment()));
         Files.writeString(folder.resolve("summary.json"), JSON.writerWithDefaultPrettyPrinter().writeValueAsString(json));
-        events(outcome, folder.resolve("events.jsonl"));
-        histograms(outcome, summary, folder.resolve("latency.hlog"));
+        writeEvents(outcome, folder.resolve("events.jsonl"));
+        writeHistograms(outcome, summary, folder.resolve("latency.hlog"));
         List<String> breaches = outcome.breaches().stream().map(Breach::toString).toList();
         Files.write(folder.resolve("breaches.txt"), breaches);
-        Files.writeString(folder.resolve("report.html"), page(outcome, summary, json));
-        out.println(Summary.words(json, outcome.breaches()));
+        Files.writeString(folder.resolve("report.html"), createPage(outcome, summary, json));
+        out.println(Summary.describe(json, outcome.breaches()));
         out.println("report: " + folder.resolve("report.html"));
         return json;
     }
 
-    private static void events(Outcome outcome, Path file) throws IOException {
+    private static void writeEvents(ExperimentResult outcome, Path file) throws IOException {
         try (BufferedWriter lines = Files.newBufferedWriter(file)) {
-            for (Sight sight : outcome.sights()) {
+            for (ObservedEvent sight : outcome.events()) {
                 lines.write(JSON.writeValueAsString(sight));
                 lines.newLine();
             }
@@ -59,7 +59,7 @@
     }
 
     /** One interval a second by when records were due, in the histogram log format; values are microseconds. */
-    private static void histograms(Outcome outcome, Summary summary, Path file) throws IOException {
+    private static void writeHistograms(ExperimentResult outcome, Summary summary, Path file) throws IOException {
         int seconds = Math.max(1, (int) Math.ceil(outcome.seconds()));
         try (PrintStream stream = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.US_ASCII)) {
             HistogramLogWriter log = new HistogramLogWriter(stream);
@@ -69,8 +69,8 @@
             for (int second = 0; second < seconds; second++) {
                 Histogram each = new Histogram(1, 600_000_000L, 3);
                 int now = second;
-                summary.delivered().forEach((message, at) -> {
-                    Handed handed = summary.messages().get(message);
+                summary.deliveredAtMicrosByMessage().forEach((message, at) -> {
+                    HandedInRecord handed = summary.recordsByMessage().get(message);
                     if (handed.due() / 1_000_000 == now) {
                         each.recordValue(Math.max(1, at - handed.due()));
                     }
@@ -82,27 +82,27 @@
         }
     }
 
-    private static String page(Outcome outcome, Summary summary, JsonNode json) throws IOException {
+    private static String createPage(ExperimentResult outcome, Summary summary, JsonNode json) throws IOException {
         StringBuilder html = new StringBuilder(1 << 20);
-        html.append("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(safe(outcome.day().name()))
-                .append("</title><style>").append(STYLE).append("</style><h1>").append(safe(outcome.day().name()))
-                .append(", seed ").append(outcome.day().seed()).append("</h1><p>").append(safe(outcome.day().about()))
+        html.append("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(escapeHtml(outcome.experiment().name()))
+                .append("</title><style>").append(CSS).append("</style><h1>").append(escapeHtml(outcome.experiment().name()))
+                .append(", seed ").append(outcome.experiment().seed()).append("</h1><p>").append(escapeHtml(outcome.experiment().about()))
                 .append("</p>");
-        String verdict = outcome.voided() != null ? "Void: " + outcome.voided() + ". None of the figures counts."
+        String verdict = outcome.voidedBecause() != null ? "Void: " + outcome.voidedBecause() + ". None of the figures counts."
                 : outcome.breaches().isEmpty() ? "All six rules kept." : outcome.breaches().size() + " breaches of the rules.";
-        html.append("<p class=\"").append(outcome.status() == 0 ? "good" : "bad").append("\"><b>").append(safe(verdict))
+        html.append("<p class=\"").append(outcome.status() == 0 ? "good" : "bad").append("\"><b>").append(escapeHtml(verdict))
                 .append("</b></p>");
-        html.append("<p>Build: ").append(safe(outcome.build())).append("</p>");
-        table(html, "Messages", json.path("messages"));
+        html.append("<p>Build: ").append(escapeHtml(outcome.build())).append("</p>");
+        appendTable(html, "Messages", json.path("messages"));
         html.append("<p>Goodput (delivered worth as a share of the offered): <b>").append(json.path("goodput")).append("</b></p>");
-        for (XYChart chart : new Plots(outcome, summary).all()) {
-            html.append("<p><img alt=\"").append(safe(chart.getTitle())).append("\" src=\"").append(Plots.image(chart))
+        for (XYChart chart : new Plots(outcome, summary).createAll()) {
+            html.append("<p><img alt=\"").append(escapeHtml(chart.getTitle())).append("\" src=\"").append(Plots.toDataUri(chart))
                     .append("\"></p>");
         }
-        latency(html, json.path("latencyMs"), json.path("toolLatenessMs"));
-        grades(html, json.path("grades"));
-        table(html, "Calls at the receivers", json.path("calls"));
-        table(html, "Records that went to more than one hall", json.path("crossings"));
+        appendLatencyTable(html, json.path("latencyMs"), json.path("toolLatenessMs"));
+        appendGradeTable(html, json.path("grades"));
+        appendTable(html, "Calls at the receivers", json.path("calls"));
+        appendTable(html, "Records that went to more than one hall", json.path("crossings"));
         html.append("<h2>Machines</h2><table><tr><th>node<th>most memory, MB<th>most CPU, cores<th>most descriptors</tr>");
         json.path("machines").forEach(one -> html.append("<tr><td>").append(one.path("node")).append("<td>")
                 .append(one.path("mostMemoryMb")).append("<td>").append(one.path("mostCores")).append("<td>")
@@ -110,47 +110,47 @@
         html.append("</table>");
         if (!outcome.breaches().isEmpty()) {
             html.append("<h2 class=\"bad\">Breaches</h2>");
-            outcome.breaches().stream().limit(20).forEach(breach -> html.append("<pre>").append(safe(breach.toString()))
+            outcome.breaches().stream().limit(20).forEach(breach -> html.append("<pre>").append(escapeHtml(breach.toString()))
                     .append("</pre>"));
         }
-        html.append("<h2>Experiment</h2><pre>").append(safe(ExperimentFile.write(outcome.day()))).append("</pre></html>");
+        html.append("<h2>Experiment</h2><pre>").append(escapeHtml(ExperimentFile.toYaml(outcome.experiment()))).append("</pre></html>");
         return html.toString();
     }
 
-    private static void latency(StringBuilder html, JsonNode latency, JsonNode lateness) {
+    private static void appendLatencyTable(StringBuilder html, JsonNode latency, JsonNode lateness) {
         html.append("<h2>Times, ms</h2><p>From due counts what the schedule asked for; from sent leaves out what waited "
                 + "before it was sent, and so hides stalls.</p><table><tr><th><th>count<th>p50<th>p90<th>p99<th>p99.9<th>max</tr>");
         List<String> names = new ArrayList<>();
         latency.fieldNames().forEachRemaining(names::add);
-        names.forEach(name -> row(html, name, latency.path(name)));
-        row(html, "the tool's own lateness", lateness);
+        names.forEach(name -> appendLatencyRow(html, name, latency.path(name)));
+        appendLatencyRow(html, "the tool's own lateness", lateness);
         html.append("</table>");
     }
 
-    private static void row(StringBuilder html, String name, JsonNode figures) {
-        html.append("<tr><td>").append(safe(name));
+    private static void appendLatencyRow(StringBuilder html, String name, JsonNode figures) {
+        html.append("<tr><td>").append(escapeHtml(name));
         for (String which : List.of("count", "p50", "p90", "p99", "p999", "max")) {
             html.append("<td>").append(figures.path(which).isMissingNode() ? "" : figures.path(which).asText());
         }
         html.append("</tr>");
     }
 
-    private static void grades(StringBuilder html, JsonNode grades) {
+    private static void appendGradeTable(StringBuilder html, JsonNode grades) {
         html.append("<h2>Service grades</h2><table><tr><th>grade<th>offered<th>done<th>goodput</tr>");
-        grades.properties().forEach(one -> html.append("<tr><td>").append(safe(one.getKey())).append("<td>")
+        grades.properties().forEach(one -> html.append("<tr><td>").append(escapeHtml(one.getKey())).append("<td>")
                 .append(one.getValue().path("offered")).append("<td>").append(one.getValue().path("done")).append("<td>")
                 .append(one.getValue().path("goodput")).append("</tr>"));
         html.append("</table>");
     }
 
-    private static void table(StringBuilder html, String title, JsonNode figures) {
+    private static void appendTable(StringBuilder html, String title, JsonNode figures) {
         html.append("<h2>").append(title).append("</h2><table>");
-        figures.properties().forEach(one -> html.append("<tr><td>").append(safe(one.getKey())).append("<td>")
-                .append(safe(one.getValue().asText())).append("</tr>"));
+        figures.properties().forEach(one -> html.append("<tr><td>").append(escapeHtml(one.getKey())).append("<td>")
+                .append(escapeHtml(one.getValue().asText())).append("</tr>"));
         html.append("</table>");
     }
 
-    static String safe(String text) {
+    static String escapeHtml(String text) {
         return String.valueOf(text).replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
     }
 }
--- a/src/main/java/terndyke/lab/report/Summary.java
+++ b/src/main/java/terndyke/lab/report/Summary.java
@@ -19,70 +19,70 @@
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.Experiment.Grade;
 import terndyke.lab.referee.Breach;
-import terndyke.lab.referee.Handed;
-import terndyke.lab.referee.Sight;
-import terndyke.lab.referee.Sight.What;
-import terndyke.lab.referee.Story;
-import terndyke.lab.run.Outcome;
-import terndyke.lab.run.Sampler;
+import terndyke.lab.referee.HandedInRecord;
+import terndyke.lab.referee.ObservedEvent;
+import terndyke.lab.referee.ObservedEvent.EventType;
+import terndyke.lab.referee.RecordHistory;
+import terndyke.lab.run.ExperimentResult;
+import terndyke.lab.run.ResourceSampler;
 
 /** A day in figures. Times in milliseconds unless a name says otherwise; worth as a share of what was offered. */
 public final class Summary {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
-    private static final long MOST = 600_000_000L;
+    private static final long MAX_LATENCY_MICROS = 600_000_000L;
 
-    private final Outcome outcome;
-    private final Experiment day;
+    private final ExperimentResult experimentResult;
+    private final Experiment experiment;
     /** By message: when the first of its ids was delivered; whether any was told dead or bounced; taken at all. */
-    private final Map<Integer, Long> delivered = new HashMap<>();
-    private final Map<Integer, String> told = new HashMap<>();
-    private final Set<Integer> taken = new HashSet<>();
-    private final Map<Integer, Handed> messages = new TreeMap<>();
-    private final Histogram deliveredFromDue = new Histogram(1, MOST, 3);
-    private final Histogram deliveredFromSent = new Histogram(1, MOST, 3);
+    private final Map<Integer, Long> deliveredAtMicrosByMessage = new HashMap<>();
+    private final Map<Integer, String> noticeResultsByMessage = new HashMap<>();
+    private final Set<Integer> acceptedMessages = new HashSet<>();
+    private final Map<Integer, HandedInRecord> recordsByMessage = new TreeMap<>();
+    private final Histogram deliveredFromDue = new Histogram(1, MAX_LATENCY_MICROS, 3);
+    private final Histogram deliveredFromSent = new Histogram(1, MAX_LATENCY_MICROS, 3);
 
-    public Summary(Outcome outcome) {
-        this.outcome = outcome;
-        day = outcome.day();
-        for (Story story : outcome.stories()) {
-            Handed handed = story.handed();
+    public Summary(ExperimentResult outcome) {
+        this.experimentResult = outcome;
+        experiment = outcome.experiment();
+        for (RecordHistory story : outcome.histories()) {
+            HandedInRecord handed = story.handedInRecord();
             if (handed.extra()) {
                 continue;
             }
-            messages.putIfAbsent(handed.message(), handed);
-            if (!story.taken()) {
+            recordsByMessage.putIfAbsent(handed.message(), handed);
+            if (!story.isAccepted()) {
                 continue;
             }
-            taken.add(handed.message());
-            if (story.deliveredAt() >= 0) {
-                delivered.merge(handed.message(), story.deliveredAt(), Math::min);
-                deliveredFromDue.recordValue(clamp(story.deliveredAt() - handed.due()));
-                deliveredFromSent.recordValue(clamp(story.deliveredAt() - handed.sent()));
-            } else if (story.notice() != null) {
-                told.put(handed.message(), story.notice());
+            acceptedMessages.add(handed.message());
+            if (story.deliveredAtMicros() >= 0) {
+                deliveredAtMicrosByMessage.merge(handed.message(), story.deliveredAtMicros(), Math::min);
+                deliveredFromDue.recordValue(clampLatency(story.deliveredAtMicros() - handed.due()));
+                deliveredFromSent.recordValue(clampLatency(story.deliveredAtMicros() - handed.sent()));
+            } else if (story.noticeResult() != null) {
+                noticeResultsByMessage.put(handed.message(), story.noticeResult());
             }
         }
     }
 
-    private static long clamp(long micros) {
-        return Math.max(1, Math.min(MOST, micros));
+    private static long clampLatency(long micros) {
+        return Math.max(1, Math.min(MAX_LATENCY_MICROS, micros));
     }
 
-    Map<Integer, Long> delivered() {
-        return delivered;
+    Map<Integer, Long> deliveredAtMicrosByMessage() {
+        return deliveredAtMicrosByMessage;
     }
 
-    Map<Integer, Handed> messages() {
-        return messages;
+    Map<Integer, HandedInRecord> recordsByMessage() {
+        return recordsByMessage;
     }
 
-    Map<Integer, String> told() {
-        return told;
+    Map<Integer, String> noticeResultsByMessage() {
+        return noticeResultsByMessage;
     }
 
     /** What a record is worth that is delivered after so long, as a share of its grade's worth. */
-    static double worth(Grade grade, long after) {
+    static double payoffShare(Grade grade, long after) {
         if (after <= grade.target().micros()) {
             return 1;
         }
@@ -98,70 +98,70 @@
     private double goodput(int only) {
         double offered = 0;
         double got = 0;
-        for (Map.Entry<Integer, Handed> one : messages.entrySet()) {
-            Grade grade = day.grades().get(one.getValue().grade());
+        for (Map.Entry<Integer, HandedInRecord> one : recordsByMessage.entrySet()) {
+            Grade grade = experiment.grades().get(one.getValue().grade());
             if (only < 0 || only == one.getValue().grade()) {
                 offered += grade.worth();
-                Long at = delivered.get(one.getKey());
-                got += at == null ? 0 : grade.worth() * worth(grade, at - one.getValue().due());
+                Long at = deliveredAtMicrosByMessage.get(one.getKey());
+                got += at == null ? 0 : grade.worth() * payoffShare(grade, at - one.getValue().due());
             }
         }
-        return offered > 0 ? got / offered : outcome.offered() == 0 || only >= 0 ? 1 : 0;
+        return offered > 0 ? got / offered : experimentResult.offeredCount() == 0 || only >= 0 ? 1 : 0;
     }
 
-    public ObjectNode json() {
+    public ObjectNode toJson() {
         ObjectNode json = JSON.createObjectNode();
-        json.put("name", day.name()).put("seed", day.seed()).put("build", outcome.build())
-                .put("seconds", round(outcome.seconds())).put("status", outcome.status()).put("void", outcome.voided());
-        json.put("nodes", day.nodes().count()).put("receivers", outcome.receivers()).put("offered", outcome.offered())
+        json.put("name", experiment.name()).put("seed", experiment.seed()).put("build", experimentResult.build())
+                .put("seconds", round(experimentResult.seconds())).put("status", experimentResult.status()).put("void", experimentResult.voidedBecause());
+        json.put("nodes", experiment.nodes().count()).put("receivers", experimentResult.receiverCount()).put("offered", experimentResult.offeredCount())
                 .put("goodput", round(goodput()));
         int inTarget = 0;
-        for (Map.Entry<Integer, Long> one : delivered.entrySet()) {
-            Handed handed = messages.get(one.getKey());
-            inTarget += one.getValue() - handed.due() <= day.grades().get(handed.grade()).target().micros() ? 1 : 0;
+        for (Map.Entry<Integer, Long> one : deliveredAtMicrosByMessage.entrySet()) {
+            HandedInRecord handed = recordsByMessage.get(one.getKey());
+            inTarget += one.getValue() - handed.due() <= experiment.grades().get(handed.grade()).target().micros() ? 1 : 0;
         }
         Map<String, Integer> ends = new TreeMap<>();
-        told.values().forEach(result -> ends.merge(result, 1, Integer::sum));
-        int[] doors = outcome.atTheDoors();
-        json.putObject("messages").put("handedIn", doors[0]).put("taken", taken.size()).put("done", delivered.size())
+        noticeResultsByMessage.values().forEach(result -> ends.merge(result, 1, Integer::sum));
+        int[] doors = experimentResult.handInCounts();
+        json.putObject("messages").put("handedIn", doors[0]).put("taken", acceptedMessages.size()).put("done", deliveredAtMicrosByMessage.size())
                 .put("doneInTarget", inTarget).put("bounced", ends.getOrDefault("bounced", 0))
                 .put("terminated", ends.getOrDefault("dead", 0)).put("refusedForGood", doors[2]).put("failedAtDoor", doors[3])
                 .put("unanswered", doors[4]);
-        rules(json.putObject("rules"));
+        addBreachCounts(json.putObject("rules"));
         ArrayNode breaches = json.putArray("breaches");
-        outcome.breaches().stream().limit(50).forEach(breach -> breaches.addObject().put("rule", breach.rule())
-                .put("atSeconds", round(breach.at() / 1e6)).put("id", breach.id()).put("why", breach.why()));
+        experimentResult.breaches().stream().limit(50).forEach(breach -> breaches.addObject().put("rule", breach.rule())
+                .put("atSeconds", round(breach.atMicros() / 1e6)).put("id", breach.id()).put("why", breach.reason()));
         ObjectNode latency = json.putObject("latencyMs");
-        latency.set("acceptedFromDue", percentiles(outcome.acceptedFromDue()));
-        latency.set("acceptedFromSent", percentiles(outcome.acceptedFromSent()));
-        latency.set("deliveredFromDue", percentiles(deliveredFromDue));
-        latency.set("deliveredFromSent", percentiles(deliveredFromSent));
-        json.set("toolLatenessMs", percentiles(outcome.lateness()));
-        json.set("drainToLastShotMs", percentiles(drains()));
+        latency.set("acceptedFromDue", toPercentilesJson(experimentResult.acceptedFromDue()));
+        latency.set("acceptedFromSent", toPercentilesJson(experimentResult.acceptedFromSent()));
+        latency.set("deliveredFromDue", toPercentilesJson(deliveredFromDue));
+        latency.set("deliveredFromSent", toPercentilesJson(deliveredFromSent));
+        json.set("toolLatenessMs", toPercentilesJson(experimentResult.toolLateness()));
+        json.set("drainToLastShotMs", toPercentilesJson(drainToLastShotTimes()));
         ObjectNode grades = json.putObject("grades");
-        for (int i = 0; i < day.grades().size(); i++) {
+        for (int i = 0; i < experiment.grades().size(); i++) {
             int grade = i;
-            long offered = messages.values().stream().filter(handed -> handed.grade() == grade).count();
-            long done = delivered.keySet().stream().filter(message -> messages.get(message).grade() == grade).count();
-            grades.putObject(day.grades().get(i).name()).put("offered", offered).put("done", done)
+            long offered = recordsByMessage.values().stream().filter(handed -> handed.grade() == grade).count();
+            long done = deliveredAtMicrosByMessage.keySet().stream().filter(message -> recordsByMessage.get(message).grade() == grade).count();
+            grades.putObject(experiment.grades().get(i).name()).put("offered", offered).put("done", done)
                     .put("goodput", round(goodput(i)));
         }
-        calls(json.putObject("calls"));
-        crossings(json.putObject("crossings"));
-        machines(json.putArray("machines"));
+        addCallCounts(json.putObject("calls"));
+        addHallCrossings(json.putObject("crossings"));
+        addNodeMaxima(json.putArray("machines"));
         return json;
     }
 
-    private void rules(ObjectNode json) {
+    private void addBreachCounts(ObjectNode json) {
         for (int rule = 1; rule <= 6; rule++) {
             int number = rule;
-            json.put(Integer.toString(rule), outcome.breaches().stream().filter(breach -> breach.rule() == number).count());
+            json.put(Integer.toString(rule), experimentResult.breaches().stream().filter(breach -> breach.rule() == number).count());
         }
     }
 
-    private void calls(ObjectNode json) {
+    private void addCallCounts(ObjectNode json) {
         Map<String, Integer> counts = new LinkedHashMap<>();
-        for (Sight sight : outcome.sights()) {
+        for (ObservedEvent sight : experimentResult.events()) {
             String name = switch (sight.what()) {
                 case CALL -> "came";
                 case CALL_ANSWERED -> "answered" + sight.status();
@@ -179,28 +179,28 @@
     }
 
     /** Records whose calls went to more than one hall, by grade. */
-    private void crossings(ObjectNode json) {
+    private void addHallCrossings(ObjectNode json) {
         Map<String, Set<Integer>> halls = new HashMap<>();
-        outcome.sights().stream().filter(sight -> sight.what() == What.CALL).forEach(sight -> halls
+        experimentResult.events().stream().filter(sight -> sight.what() == EventType.CALL).forEach(sight -> halls
                 .computeIfAbsent(sight.id(), id -> new HashSet<>()).add(sight.hall()));
-        int[] crossed = new int[day.grades().size()];
-        for (Story story : outcome.stories()) {
-            crossed[story.handed().grade()] += halls.getOrDefault(story.handed().id(), Set.of()).size() > 1 ? 1 : 0;
+        int[] crossed = new int[experiment.grades().size()];
+        for (RecordHistory story : experimentResult.histories()) {
+            crossed[story.handedInRecord().grade()] += halls.getOrDefault(story.handedInRecord().id(), Set.of()).size() > 1 ? 1 : 0;
         }
         for (int i = 0; i < crossed.length; i++) {
-            json.put(day.grades().get(i).name(), crossed[i]);
+            json.put(experiment.grades().get(i).name(), crossed[i]);
         }
     }
 
-    private void machines(ArrayNode json) {
-        for (int node = 0; node < day.nodes().count(); node++) {
+    private void addNodeMaxima(ArrayNode json) {
+        for (int node = 0; node < experiment.nodes().count(); node++) {
             double memory = 0;
             double cores = 0;
             int descriptors = 0;
-            for (Sampler.Sample sample : outcome.samples()) {
+            for (ResourceSampler.Sample sample : experimentResult.samples()) {
                 memory = Math.max(memory, sample.memoryMb()[node]);
                 cores = Math.max(cores, sample.cores()[node]);
-                descriptors = Math.max(descriptors, sample.descriptors()[node]);
+                descriptors = Math.max(descriptors, sample.fileDescriptors()[node]);
             }
             json.addObject().put("node", node).put("mostMemoryMb", round(memory)).put("mostCores", round(cores))
                     .put("mostDescriptors", descriptors);
@@ -208,23 +208,23 @@
     }
 
     /** From a drain's telling to the last new shot at that receiver, for each node and drain. */
-    private Histogram drains() {
-        Histogram histogram = new Histogram(1, MOST, 3);
+    private Histogram drainToLastShotTimes() {
+        Histogram histogram = new Histogram(1, MAX_LATENCY_MICROS, 3);
         Map<String, Long> since = new HashMap<>();
         Map<String, Long> last = new HashMap<>();
-        for (Sight sight : outcome.sights()) {
+        for (ObservedEvent sight : experimentResult.events()) {
             String whom = sight.node() + "/" + sight.uid();
-            if (sight.what() == What.TOLD && sight.status() == 2) {
+            if (sight.what() == EventType.TOLD && sight.status() == 2) {
                 since.putIfAbsent(whom, sight.at());
-            } else if (sight.what() == What.CALL && since.containsKey(whom)) {
+            } else if (sight.what() == EventType.CALL && since.containsKey(whom)) {
                 last.put(whom, Math.max(1, sight.began() - since.get(whom)));
             }
         }
-        since.keySet().forEach(whom -> histogram.recordValue(clamp(last.getOrDefault(whom, 1L))));
+        since.keySet().forEach(whom -> histogram.recordValue(clampLatency(last.getOrDefault(whom, 1L))));
         return histogram;
     }
 
-    static ObjectNode percentiles(Histogram histogram) {
+    static ObjectNode toPercentilesJson(Histogram histogram) {
         ObjectNode json = JSON.createObjectNode().put("count", histogram.getTotalCount());
         if (histogram.getTotalCount() > 0) {
             for (double percentile : PERCENTILES) {
@@ -241,7 +241,7 @@
     }
 
     /** What a person reads first. */
-    static String words(JsonNode json, List<Breach> breaches) {
+    static String describe(JsonNode json, List<Breach> breaches) {
         List<String> lines = new ArrayList<>();
         JsonNode messages = json.path("messages");
         lines.add(String.format("%s, seed %d: goodput %.3f, %d offered, %d done (%d in target), %d bounced, %d terminated, "
--- a/src/main/java/terndyke/lab/report/SweepPlot.java
+++ b/src/main/java/terndyke/lab/report/SweepPlot.java
@@ -25,34 +25,34 @@
             PrintStream out) throws IOException {
         StringBuilder html = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>sweep</title>");
         for (String figure : figures) {
-            html.append("<p><img alt=\"").append(Report.safe(figure)).append("\" src=\"")
-                    .append(Plots.image(of(field, values, figure, all, out))).append("\"></p>");
+            html.append("<p><img alt=\"").append(ReportWriter.escapeHtml(figure)).append("\" src=\"")
+                    .append(Plots.toDataUri(createChart(field, values, figure, all, out))).append("\"></p>");
         }
         Files.createDirectories(file.getParent());
         Files.writeString(file, html);
     }
 
-    private static XYChart of(String field, List<String> values, String figure, List<List<JsonNode>> all, PrintStream out) {
+    private static XYChart createChart(String field, List<String> values, String figure, List<List<JsonNode>> all, PrintStream out) {
         double[] x = new double[values.size()];
         double[] mean = new double[x.length];
         double[] spread = new double[x.length];
         for (int i = 0; i < x.length; i++) {
-            x[i] = number(values.get(i), i);
+            x[i] = axisPosition(values.get(i), i);
             double[] figures = all.get(i).stream().mapToDouble(json -> json.at("/" + figure.replace('.', '/')).asDouble())
                     .toArray();
             mean[i] = java.util.Arrays.stream(figures).average().orElse(0);
-            spread[i] = Comparison.deviation(figures);
+            spread[i] = Comparison.standardDeviation(figures);
             out.printf(Locale.ROOT, "%s=%s: %s %.3f, spread %.3f over %d seeds%n", field, values.get(i), figure, mean[i],
                     spread[i], figures.length);
         }
-        XYChart chart = Plots.chart(figure + " by " + field, field, figure);
+        XYChart chart = Plots.createChart(figure + " by " + field, field, figure);
         chart.addSeries(figure, x, mean, spread).setMarker(SeriesMarkers.CIRCLE);
         chart.getStyler().setMarkerSize(6);
         return chart;
     }
 
     /** A value's place on the axis: its number, or its turn where it has none. */
-    private static double number(String value, int turn) {
+    private static double axisPosition(String value, int turn) {
         String digits = value.replaceAll("[a-zA-Z]+$", "");
         try {
             return Double.parseDouble(digits);
--- a/src/main/java/terndyke/lab/run/NodeFile.java
+++ b/src/main/java/terndyke/lab/run/NodeConfigurationWriter.java
@@ -10,44 +10,44 @@
 
 import terndyke.lab.emulate.DiscoveryAgent;
 import terndyke.lab.plan.Experiment;
-import terndyke.lab.plan.Experiment.Effect;
+import terndyke.lab.plan.Experiment.RepeatSemantics;
 import terndyke.lab.plan.Experiment.Grade;
 import terndyke.lab.plan.Experiment.Tenant;
 import terndyke.lab.wire.SocketReactor;
 
 /** Writes a node's configuration in the platform's form: what an experiment says, in the words that a node reads. */
-public final class NodeFile {
+public final class NodeConfigurationWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private NodeFile() { }
+    private NodeConfigurationWriter() { }
 
     /** For a node that somebody else starts beside an emulator. */
-    public static String of(Experiment day, int node, DiscoveryAgent agent) throws IOException {
-        return of(day, node, day.seed() * 1000 + node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3"), agent.address(), agent.fullListJson());
+    public static String toJson(Experiment day, int node, DiscoveryAgent agent) throws IOException {
+        return toJson(day, node, day.seed() * 1000 + node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3"), agent.address(), agent.fullListJson());
     }
 
-    static String of(Experiment day, int node, long seed, InetSocketAddress listen, InetSocketAddress agent, String known) {
+    static String toJson(Experiment day, int node, long seed, InetSocketAddress listen, InetSocketAddress agent, String known) {
         ObjectNode file = JSON.createObjectNode();
         file.put("name", "n" + node);
-        file.put("listen", text(listen));
-        file.put("discovery", text(agent));
+        file.put("listen", formatAddress(listen));
+        file.put("discovery", formatAddress(agent));
         file.put("seed", Long.toHexString(seed));
         file.putObject("limits").put("cores", day.nodes().cores()).put("memory_mb", day.nodes().memoryMb())
                 .put("sockets", day.nodes().sockets()).put("disk_mb", day.nodes().diskMb());
         try {
             file.set("known", JSON.readTree(known));
-            file.set("settings", settings(day, node));
+            file.set("settings", createSettings(day, node));
             return JSON.writeValueAsString(file);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    private static ObjectNode settings(Experiment day, int node) {
+    private static ObjectNode createSettings(Experiment day, int node) {
         ObjectNode settings = JSON.createObjectNode();
         settings.put("balancers", day.nodes().count()).put("rank", node).put("zone", node % day.halls().size())
                 .put("discovery", "push").put("weightSource", "rough").put("resolution", 0.005).put("overShareWorth", 0.1);
@@ -59,7 +59,7 @@
         ArrayNode perCall = family.putArray("perCall");
         boolean reports = false;
         java.util.Set<String> named = new java.util.HashSet<>();
-        for (Experiment.Destinations some : day.destinations()) {
+        for (Experiment.DestinationGroup some : day.destinations()) {
             reports |= some.reports();
             if (!named.add(some.kind())) {
                 continue;
@@ -92,9 +92,9 @@
         ArrayNode grades = settings.putArray("classes");
         for (Grade grade : day.grades()) {
             ObjectNode one = grades.addObject().put("name", grade.name()).put("target", grade.target().seconds())
-                    .put("deadline", grade.abandon().seconds()).put("semantics", grade.effect().told())
+                    .put("deadline", grade.abandon().seconds()).put("semantics", grade.effect().settingsValue())
                     .put("points", grade.worth()).put("lateShare", grade.lateWorth()).put("serialByKey", grade.inOrder());
-            if (grade.effect() == Effect.DEDUPLICATED) {
+            if (grade.effect() == RepeatSemantics.DEDUPLICATED) {
                 one.put("group", grade.everywhere() ? "all" : "zone").put("memorySpan", grade.window().seconds());
             }
         }
--- a/src/main/java/terndyke/lab/run/NodeProcess.java
+++ b/src/main/java/terndyke/lab/run/NodeProcess.java
@@ -16,17 +16,17 @@
 import java.util.stream.Stream;
 
 /** A real node in a process of its own, started as the deployment starts it. */
-public final class NodeProcess implements Subject {
-    private static final List<String> FLAGS = List.of("-Xshare:auto", "-XX:+UseSerialGC", "-Xms36m", "-Xmx36m", "-Xmn10m",
+public final class NodeProcess implements NodeUnderTest {
+    private static final List<String> JVM_FLAGS = List.of("-Xshare:auto", "-XX:+UseSerialGC", "-Xms36m", "-Xmx36m", "-Xmn10m",
             "-XX:+AlwaysPreTouch", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m",
             "-XX:MaxDirectMemorySize=12m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
 
     private final Path folder;
-    private final Path state;
-    private final InetSocketAddress listen;
-    private final List<String> program;
-    private final Supplier<String> file;
-    private final double diskMb;
+    private final Path stateFolder;
+    private final InetSocketAddress listenAddress;
+    private final List<String> launchArguments;
+    private final Supplier<String> configuration;
+    private final double diskLimitMb;
     private Process process;
 
     /**
@@ -36,14 +36,14 @@
     NodeProcess(Path folder, InetSocketAddress listen, List<String> program, Supplier<String> file, double diskMb)
             throws IOException {
         this.folder = folder;
-        this.listen = listen;
-        this.program = program;
-        this.file = file;
-        this.diskMb = diskMb;
-        state = folder.resolve("state");
-        Files.createDirectories(state);
+        this.listenAddress = listen;
+        this.launchArguments = program;
+        this.configuration = file;
+        this.diskLimitMb = diskMb;
+        stateFolder = folder.resolve("state");
+        Files.createDirectories(stateFolder);
         Files.deleteIfExists(folder.resolve("log")); // of an earlier day in the same folder, like its journal
-        try (Stream<Path> files = Files.list(state)) {
+        try (Stream<Path> files = Files.list(stateFolder)) {
             for (Path old : files.filter(Files::isRegularFile).toList()) {
                 Files.delete(old);
             }
@@ -54,7 +54,7 @@
      * Whether it never hears SIGHUP: what a process ignores its children ignore too, so a node below nohup cannot be told
      * to read its configuration again.
      */
-    boolean deafToHangup() throws IOException {
+    boolean ignoresHangup() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid() + "/status"))) {
             if (line.startsWith("SigIgn:")) {
                 return (Long.parseUnsignedLong(line.substring(7).strip(), 16) & 1) != 0;
@@ -64,7 +64,7 @@
     }
 
     /** What to start: that jar, or else the program that this laboratory belongs to. */
-    static List<String> program(String jar) {
+    static List<String> chooseLaunchArguments(String jar) {
         if (jar != null) {
             return List.of("-jar", jar);
         }
@@ -73,33 +73,33 @@
     }
 
     @Override
-    public InetSocketAddress listen() {
-        return listen;
+    public InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
     /** The new file takes the old one's place in one step, so that no reader sees half of it. */
     @Override
-    public void reconfigure() throws IOException {
+    public void writeConfiguration() throws IOException {
         Path next = folder.resolve("config.next");
-        Files.writeString(next, file.get());
+        Files.writeString(next, configuration.get());
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     @Override
     public void start() throws IOException {
-        reconfigure();
+        writeConfiguration();
         Path config = folder.resolve("config.json");
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(FLAGS);
-        int jar = program.indexOf("-jar");
+        command.addAll(JVM_FLAGS);
+        int jar = launchArguments.indexOf("-jar");
         if (jar >= 0) {
-            Path archive = Path.of(program.get(jar + 1).replaceFirst("\\.jar$", ".jsa"));
+            Path archive = Path.of(launchArguments.get(jar + 1).replaceFirst("\\.jar$", ".jsa"));
             if (Files.exists(archive)) {
                 command.add("-XX:SharedArchiveFile=" + archive);
             }
         }
-        command.addAll(program);
-        command.addAll(List.of("serve", "--config", config.toString(), "--state", state.toString()));
+        command.addAll(launchArguments);
+        command.addAll(List.of("serve", "--config", config.toString(), "--state", stateFolder.toString()));
         File log = folder.resolve("log").toFile();
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
@@ -112,7 +112,7 @@
     public boolean awaitReady(long patienceMillis) throws InterruptedException {
         long end = System.nanoTime() + patienceMillis * 1_000_000;
         while (System.nanoTime() < end && process.isAlive()) {
-            if (healthy()) {
+            if (isHealthy()) {
                 return true;
             }
             Thread.sleep(20);
@@ -120,9 +120,9 @@
         return false;
     }
 
-    private boolean healthy() {
+    private boolean isHealthy() {
         try (Socket socket = new Socket()) {
-            socket.connect(listen, 1_000);
+            socket.connect(listenAddress, 1_000);
             socket.setSoTimeout(1_000);
             OutputStream out = socket.getOutputStream();
             out.write("GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void signal(String name) {
+    public void sendSignal(String name) {
         try {
             if (process.isAlive()) {
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
@@ -146,12 +146,12 @@
     }
 
     @Override
-    public boolean awaitEnd(long patienceMillis) throws InterruptedException {
+    public boolean awaitExit(long patienceMillis) throws InterruptedException {
         return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public boolean running() {
+    public boolean isRunning() {
         return process != null && process.isAlive();
     }
 
@@ -161,12 +161,12 @@
     }
 
     /** What the process ended with. */
-    int status() {
+    int exitStatus() {
         return process.exitValue();
     }
 
     /** The last lines of its log, for people. */
-    String lastWords() {
+    String lastLogLines() {
         try {
             List<String> lines = Files.readAllLines(folder.resolve("log"), StandardCharsets.ISO_8859_1);
             return String.join(" | ", lines.subList(Math.max(0, lines.size() - 3), lines.size()));
@@ -176,19 +176,19 @@
     }
 
     @Override
-    public void fillDisk(boolean full) throws IOException {
-        Path filler = state.resolve("filler");
+    public void setDiskFull(boolean full) throws IOException {
+        Path filler = stateFolder.resolve("filler");
         if (!full) {
             Files.deleteIfExists(filler);
             return;
         }
         long used = 0;
-        try (Stream<Path> files = Files.list(state)) {
+        try (Stream<Path> files = Files.list(stateFolder)) {
             for (Path one : files.toList()) {
                 used += (Files.size(one) + 511) / 512 * 512;
             }
         }
-        Files.write(filler, new byte[(int) Math.max(0, diskMb * 1_000_000 - used)]);
+        Files.write(filler, new byte[(int) Math.max(0, diskLimitMb * 1_000_000 - used)]);
     }
 
     @Override
--- a/src/main/java/terndyke/lab/run/Subject.java
+++ b/src/main/java/terndyke/lab/run/NodeUnderTest.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 
 /** A node under test: a process of its own, or a stand-in. Signals that it does not know do nothing. */
-public interface Subject {
-    InetSocketAddress listen();
+public interface NodeUnderTest {
+    InetSocketAddress listenAddress();
 
     void start() throws IOException;
 
@@ -13,21 +13,21 @@
     boolean awaitReady(long patienceMillis) throws InterruptedException;
 
     /** A signal by its short name, such as TERM. */
-    void signal(String name);
+    void sendSignal(String name);
 
     /** Waits for its end; false where it still runs. */
-    boolean awaitEnd(long patienceMillis) throws InterruptedException;
+    boolean awaitExit(long patienceMillis) throws InterruptedException;
 
-    boolean running();
+    boolean isRunning();
 
     /** The process to measure; 0 where there is none. */
     long pid();
 
     /** Writes its configuration anew, as it stands now. */
-    void reconfigure() throws IOException;
+    void writeConfiguration() throws IOException;
 
     /** Fills its folder up to the limit, or frees it again. */
-    void fillDisk(boolean full) throws IOException;
+    void setDiskFull(boolean full) throws IOException;
 
     /** Ends it at once. */
     void destroy();
--- a/src/main/java/terndyke/lab/run/Sampler.java
+++ b/src/main/java/terndyke/lab/run/ResourceSampler.java
@@ -11,33 +11,33 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /** Measures the nodes' processes and the receivers' load at steady times, from outside. */
-public final class Sampler {
+public final class ResourceSampler {
     /** One look: seconds since the start; per node memory (MB), share of a core, descriptors; per destination in hand. */
-    public record Sample(double at, double[] memoryMb, double[] cores, int[] descriptors, int[] inHand, int[] connections) { }
+    public record Sample(double atSeconds, double[] memoryMb, double[] cores, int[] fileDescriptors, int[] callsInProgress, int[] connections) { }
 
-    private static final double TICKS = 100; // of /proc, a second
-    private final List<Subject> nodes;
+    private static final double CLOCK_TICKS_PER_SECOND = 100; // of /proc, a second
+    private final List<NodeUnderTest> nodes;
     private final Emulator emulator;
     private final List<Sample> samples = new ArrayList<>();
-    private final long[] lastTicks;
-    private final long[] lastPid;
-    private long lastAt;
+    private final long[] lastCpuTicks;
+    private final long[] lastPids;
+    private long lastSampleAtMicros;
 
-    Sampler(List<Subject> nodes, Emulator emulator) {
+    ResourceSampler(List<NodeUnderTest> nodes, Emulator emulator) {
         this.nodes = nodes;
         this.emulator = emulator;
-        lastTicks = new long[nodes.size()];
-        lastPid = new long[nodes.size()];
+        lastCpuTicks = new long[nodes.size()];
+        lastPids = new long[nodes.size()];
     }
 
-    synchronized void look(long start) {
+    synchronized void takeSample(long start) {
         long now = TaskScheduler.nowMicros();
         int count = nodes.size();
         double[] memory = new double[count];
         double[] cores = new double[count];
         int[] descriptors = new int[count];
         for (int i = 0; i < count; i++) {
-            long pid = nodes.get(i).running() ? nodes.get(i).pid() : 0;
+            long pid = nodes.get(i).isRunning() ? nodes.get(i).pid() : 0;
             if (pid == 0) {
                 continue;
             }
@@ -46,19 +46,19 @@
                 String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
                 long ticks = Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
                 memory[i] = Long.parseLong(fields[21]) * 4096 / 1e6;
-                if (lastPid[i] == pid && now > lastAt) {
-                    cores[i] = (ticks - lastTicks[i]) / TICKS / ((now - lastAt) / 1e6);
+                if (lastPids[i] == pid && now > lastSampleAtMicros) {
+                    cores[i] = (ticks - lastCpuTicks[i]) / CLOCK_TICKS_PER_SECOND / ((now - lastSampleAtMicros) / 1e6);
                 }
-                lastTicks[i] = ticks;
-                lastPid[i] = pid;
+                lastCpuTicks[i] = ticks;
+                lastPids[i] = pid;
                 try (Stream<Path> open = Files.list(Path.of("/proc/" + pid + "/fd"))) {
                     descriptors[i] = (int) open.count();
                 }
             } catch (IOException | RuntimeException e) {
-                lastPid[i] = 0; // it has just ended
+                lastPids[i] = 0; // it has just ended
             }
         }
-        lastAt = now;
+        lastSampleAtMicros = now;
         int[][] load = emulator.loadByDestination();
         int[] inHand = new int[load.length];
         int[] connections = new int[load.length];
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -21,7 +21,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-import terndyke.lab.run.Subject;
+import terndyke.lab.run.NodeUnderTest;
 import terndyke.lab.wire.RawHttpConnection;
 import terndyke.lab.wire.RawHttpMessage;
 import terndyke.lab.wire.SocketReactor;
@@ -31,7 +31,7 @@
  * A plain node that keeps the rules, or breaks just one of them on purpose: the referee has to be able to fail. It keeps
  * no journal, copies nothing and learns nothing; it is no yardstick for how well a node decides.
  */
-public final class StandInNode implements Subject {
+public final class StandInNode implements NodeUnderTest {
     /** What it does wrong. */
     public enum Fault {
         NONE,
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public InetSocketAddress listen() {
+    public InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
@@ -155,19 +155,19 @@
     }
 
     @Override
-    public void signal(String name) {
+    public void sendSignal(String name) {
         if (name.equals("TERM") || name.equals("KILL")) {
             destroy();
         }
     }
 
     @Override
-    public boolean awaitEnd(long patienceMillis) throws InterruptedException {
+    public boolean awaitExit(long patienceMillis) throws InterruptedException {
         return endLatch.await(patienceMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public boolean running() {
+    public boolean isRunning() {
         return endLatch.getCount() > 0;
     }
 
@@ -177,10 +177,10 @@
     }
 
     @Override
-    public void reconfigure() { }
+    public void writeConfiguration() { }
 
     @Override
-    public void fillDisk(boolean full) { }
+    public void setDiskFull(boolean full) { }
 
     @Override
     public synchronized void destroy() {
--- a/src/main/java/terndyke/lab/traced/Traced.java
+++ b/src/main/java/terndyke/lab/traced/TraceLine.java
@@ -10,33 +10,33 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-import terndyke.lab.plan.BadInput;
+import terndyke.lab.plan.UserInputException;
 
 /** One line that a node wrote with serve --trace: when, on its clock in microseconds, the verb and what it is about. */
-public record Traced(long at, String node, String verb, List<String> about) {
-    private static final String MARK = "trace";
-    private static final int LEAST_WORDS = 4;
+public record TraceLine(long atMicros, String node, String verb, List<String> arguments) {
+    private static final String TRACE_PREFIX = "trace";
+    private static final int MIN_FIELDS = 4;
 
     /** All traced lines of a folder's logs, or of one log, in order of time; whatever else they hold is passed over. */
-    public static List<Traced> read(Path logs) throws IOException, BadInput {
-        List<Traced> lines = new ArrayList<>();
+    public static List<TraceLine> read(Path logs) throws IOException, UserInputException {
+        List<TraceLine> lines = new ArrayList<>();
         try (Stream<Path> files = Files.walk(logs)) {
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
                 read(file, lines);
             }
         }
         if (lines.isEmpty()) {
-            throw new BadInput(logs + ": no traced line; nodes write them with serve --trace");
+            throw new UserInputException(logs + ": no traced line; nodes write them with serve --trace");
         }
-        lines.sort(Comparator.comparingLong(Traced::at));
+        lines.sort(Comparator.comparingLong(TraceLine::atMicros));
         return lines;
     }
 
-    private static void read(Path file, List<Traced> lines) throws IOException {
+    private static void read(Path file, List<TraceLine> lines) throws IOException {
         try (BufferedReader reader = new BufferedReader(new java.io.InputStreamReader(Files.newInputStream(file),
                 StandardCharsets.ISO_8859_1))) {
             for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-                Traced line = parse(text);
+                TraceLine line = parse(text);
                 if (line != null) {
                     lines.add(line);
                 }
@@ -45,19 +45,19 @@
     }
 
     /** The line, behind whatever stamp its collector put in front of it, or null where it is none. */
-    static Traced parse(String text) {
-        int mark = text.startsWith(MARK + " ") ? 0 : text.indexOf(" " + MARK + " ") + 1;
-        String[] words = mark == 0 && !text.startsWith(MARK + " ") ? new String[0] : text.substring(mark).split(" ");
+    static TraceLine parse(String text) {
+        int mark = text.startsWith(TRACE_PREFIX + " ") ? 0 : text.indexOf(" " + TRACE_PREFIX + " ") + 1;
+        String[] words = mark == 0 && !text.startsWith(TRACE_PREFIX + " ") ? new String[0] : text.substring(mark).split(" ");
         try {
-            return words.length < LEAST_WORDS ? null : new Traced(Long.parseLong(words[1]), words[2], words[3],
-                    List.of(words).subList(LEAST_WORDS, words.length));
+            return words.length < MIN_FIELDS ? null : new TraceLine(Long.parseLong(words[1]), words[2], words[3],
+                    List.of(words).subList(MIN_FIELDS, words.length));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
     /** What stands at a place, or nothing: a line may be cut off where its node was killed. */
-    String word(int place) {
-        return place < about.size() ? about.get(place) : "";
+    String argument(int place) {
+        return place < arguments.size() ? arguments.get(place) : "";
     }
 }
--- a/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
+++ b/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-import terndyke.lab.plan.BadInput;
+import terndyke.lab.plan.UserInputException;
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.ExperimentFile;
 
@@ -19,7 +19,7 @@
     @TempDir
     Path folder;
 
-    private static Experiment experiment(String load, long seed) throws BadInput {
+    private static Experiment experiment(String load, long seed) throws UserInputException {
         return ExperimentFile.read("day", "name: day\nabout: a day\nlength: 20s\ngrades:\n  - {name: status, effect: "
                 + "idempotent, target: 1s, abandon: 3s, share: 3}\n  - {name: order, effect: unrepeatable, target: 1s, "
                 + "abandon: 3s, inOrder: true}\ndestinations:\n  - {kind: shop, count: 5}\nload: " + load + "\n")
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void loadShapesPlaceRecordsInTheTimesTheyDefine() throws BadInput {
+    void loadShapesPlaceRecordsInTheTimesTheyDefine() throws UserInputException {
         assertEquals(1000, ScheduleGenerator.generate(experiment("{shape: constant, rate: 50}", 1)).size());
         List<Arrival> surge = ScheduleGenerator.generate(experiment("{shape: surge, rate: 50, peak: 500, from: 5s, until: 10s}", 1));
         assertTrue(countBetween(surge, 5, 10) > 5 * countBetween(surge, 10, 15));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aKeyKeepsItsDestination() throws BadInput {
+    void aKeyKeepsItsDestination() throws UserInputException {
         java.util.Map<String, Integer> seen = new java.util.HashMap<>();
         for (Arrival one : ScheduleGenerator.generate(experiment("{rate: 200, keys: 20}", 3))) {
             assertEquals(one.grade().equals("order"), one.key() != null);
@@ -83,7 +83,7 @@
                 "{\"due\":4,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}", "{",
                 "{\"due\":6,\"grade\":\"none\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}",
                 "{\"due\":6,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":9,\"bytes\":1}"));
-        List<String> faults = assertThrows(BadInput.class, () -> TraceFile.read(file, experiment("{rate: 50}", 5))).faults();
+        List<String> faults = assertThrows(UserInputException.class, () -> TraceFile.read(file, experiment("{rate: 50}", 5))).errors();
         assertEquals(4, faults.size(), faults.toString());
         assertTrue(faults.get(0).contains(":2: due"), faults.get(0));
     }
--- a/src/test/java/terndyke/lab/model/ReceiverTest.java
+++ b/src/test/java/terndyke/lab/model/ReceiverTest.java
@@ -16,16 +16,16 @@
 
 import terndyke.lab.model.Response.ResponseMode;
 import terndyke.lab.model.Receiver.ConnectOutcome;
-import terndyke.lab.plan.Experiment.Cold;
-import terndyke.lab.plan.Experiment.Destinations;
-import terndyke.lab.plan.Experiment.Limit;
-import terndyke.lab.plan.Experiment.Service;
+import terndyke.lab.plan.Experiment.ColdStart;
+import terndyke.lab.plan.Experiment.DestinationGroup;
+import terndyke.lab.plan.Experiment.RateLimit;
+import terndyke.lab.plan.Experiment.ServiceTimeDistribution;
 import terndyke.lab.plan.Failure;
 import terndyke.lab.plan.Failure.Kind;
-import terndyke.lab.plan.Span;
+import terndyke.lab.plan.TimeSpan;
 
 class ReceiverTest {
-    private static final Service TEN_MS = new Service(Service.Shape.FIXED, Span.of("10ms"), null, null);
+    private static final ServiceTimeDistribution TEN_MS = new ServiceTimeDistribution(ServiceTimeDistribution.Shape.FIXED, TimeSpan.of("10ms"), null, null);
 
     /** What the model said, as lines. */
     private static final class RecordingListener implements ReceiverListener {
@@ -55,11 +55,11 @@
 
     private final RecordingListener listener = new RecordingListener();
 
-    private static Destinations shopDestinations(int places, int queue, Service service, Limit limit, Cold cold) {
-        return new Destinations("shop", 1, 2, false, places, queue, service, limit, 100, null, cold, false, null);
+    private static DestinationGroup shopDestinations(int places, int queue, ServiceTimeDistribution service, RateLimit limit, ColdStart cold) {
+        return new DestinationGroup("shop", 1, 2, false, places, queue, service, limit, 100, null, cold, false, null);
     }
 
-    private Receiver receiver(Destinations told) {
+    private Receiver receiver(DestinationGroup told) {
         return receiver(new EmulatedDestination(0, told, 1_000_000), 0, 1);
     }
 
@@ -72,7 +72,7 @@
     }
 
     private static Failure failure(Kind kind, Double amount) {
-        return new Failure(kind, Span.ZERO, Span.of("1s"), amount, null);
+        return new Failure(kind, TimeSpan.ZERO, TimeSpan.of("1s"), amount, null);
     }
 
     private List<Integer> statuses() {
@@ -94,7 +94,7 @@
 
     @Test
     void aLimitIsSharedAndItsRetryAfterIsAccurate() {
-        Limit limit = new Limit(10.0, 2.0, null, null, 1.0, Span.of("50ms"));
+        RateLimit limit = new RateLimit(10.0, 2.0, null, null, 1.0, TimeSpan.of("50ms"));
         EmulatedDestination site = new EmulatedDestination(0, shopDestinations(8, 8, TEN_MS, limit, null), 1_000_000);
         Receiver one = receiver(site, 0, 1);
         Receiver other = receiver(site, 1, 2);
@@ -112,7 +112,7 @@
 
     @Test
     void aCountLimitResetsWithEachWindow() {
-        Receiver receiver = receiver(shopDestinations(8, 8, TEN_MS, new Limit(null, null, 2, Span.of("100ms"), 0.0, null), null));
+        Receiver receiver = receiver(shopDestinations(8, 8, TEN_MS, new RateLimit(null, null, 2, TimeSpan.of("100ms"), 0.0, null), null));
         for (long at : new long[] {0, 1, 2, 100_000}) {
             receiver.callReceived(at, shot(null));
         }
@@ -139,7 +139,7 @@
 
     @Test
     void aConnectionBeyondTheLimitIsRejectedAndAnOpenOneKeepsServing() {
-        Receiver receiver = receiver(new Destinations("shop", 1, 2, false, 8, 8, TEN_MS, null, 1, null, null, false, null));
+        Receiver receiver = receiver(new DestinationGroup("shop", 1, 2, false, 8, 8, TEN_MS, null, 1, null, null, false, null));
         receiver.openConnection();
         receiver.openConnection();
         receiver.callReceived(0, new Shot("new", null, 0, null, true));
@@ -183,7 +183,7 @@
 
     @Test
     void aColdReceiverCollapsesWhenOverloadedAndOnlyThen() {
-        Cold cold = new Cold(0.5, Span.of("10s"), 2.0, Span.of("1s"));
+        ColdStart cold = new ColdStart(0.5, TimeSpan.of("10s"), 2.0, TimeSpan.of("1s"));
         for (int every : new int[] {20_000, 2_000}) { // 50 and 500 calls a second; it can do 100 at half of its places
             Receiver receiver = receiver(shopDestinations(2, 100, TEN_MS, null, cold));
             Failure crash = failure(Kind.CRASH, null);
@@ -216,7 +216,7 @@
     void callsInProgressStayWithinPlacesAndQueueAndEachCallIsAnsweredOnce(@ForAll @IntRange(min = 1, max = 6) int places,
             @ForAll @IntRange(min = 0, max = 6) int queue, @ForAll @IntRange(min = 1, max = 60) int calls,
             @ForAll long seed) {
-        Service service = new Service(Service.Shape.EXPONENTIAL, Span.of("5ms"), null, null);
+        ServiceTimeDistribution service = new ServiceTimeDistribution(ServiceTimeDistribution.Shape.EXPONENTIAL, TimeSpan.of("5ms"), null, null);
         List<List<Long>> runs = new ArrayList<>();
         for (int again = 0; again < 2; again++) {
             RecordingListener own = new RecordingListener();
--- a/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class ExperimentFileTest {
-    static final String SOUND = """
+    static final String VALID_EXPERIMENT = """
             name: day
             about: a day
             length: 4s
@@ -22,23 +22,23 @@
               - {kind: hang, at: 1s, for: 500ms, on: {hall: west}}
             """;
 
-    private static List<String> faults(String text) {
-        return assertThrows(BadInput.class, () -> ExperimentFile.read("day.yaml", text)).faults();
+    private static List<String> readErrors(String text) {
+        return assertThrows(UserInputException.class, () -> ExperimentFile.read("day.yaml", text)).errors();
     }
 
     @Test
-    void aSoundFileIsReadAndWrittenWhole() throws BadInput {
-        Experiment day = ExperimentFile.read("day.yaml", SOUND);
+    void aValidFileIsReadAndWrittenCompletely() throws UserInputException {
+        Experiment day = ExperimentFile.read("day.yaml", VALID_EXPERIMENT);
         assertEquals(4_000_000, day.length().micros());
-        assertEquals(Experiment.Effect.DEDUPLICATED, day.grades().get(1).effect());
+        assertEquals(Experiment.RepeatSemantics.DEDUPLICATED, day.grades().get(1).effect());
         assertEquals(Failure.Kind.HANG, day.failures().get(0).kind());
         assertEquals(500_000, day.failures().get(0).lasts().micros());
-        assertEquals(day, ExperimentFile.read("again", ExperimentFile.write(day)));
+        assertEquals(day, ExperimentFile.read("again", ExperimentFile.toYaml(day)));
     }
 
     @Test
-    void everyFaultIsNamedWithItsLineAtOnce() {
-        List<String> faults = faults(SOUND.replace("length: 4s", "lenght: 4s").replace("count: 2", "count: two")
+    void allErrorsAreReportedTogetherWithTheirLines() {
+        List<String> faults = readErrors(VALID_EXPERIMENT.replace("length: 4s", "lenght: 4s").replace("count: 2", "count: two")
                 .replace("effect: idempotent", "effect: harmless").replace("for: 500ms", "for: soon")
                 .replace("target: 1s, abandon: 3s}\n", "abandon: 3s}\n"));
         assertEquals(5, faults.size(), faults.toString());
@@ -50,17 +50,17 @@
     }
 
     @Test
-    void whatDoesNotHoldTogetherIsNamedToo() {
-        List<String> faults = faults(SOUND.replace("hall: west", "hall: moon").replace("target: 1s, abandon: 3s, inOrder",
+    void inconsistentFieldsAreReportedToo() {
+        List<String> faults = readErrors(VALID_EXPERIMENT.replace("hall: west", "hall: moon").replace("target: 1s, abandon: 3s, inOrder",
                 "target: 9s, abandon: 3s, inOrder").replace("count: 2}", "count: 2, limit: {rate: 2, count: 3}}"));
         assertEquals(3, faults.size(), faults.toString());
         assertTrue(faults.get(0).contains("grades.1.target: target 9s is after abandon 3s"), faults.get(0));
     }
 
     @Test
-    void whatIsNoYamlAtAllIsOneFault() {
+    void textThatIsNoExperimentIsReportedAsAnError() {
         for (String text : List.of("", "- 1", "name: [", "\t", "\u0000", "name: day\nname: {", "{}")) {
-            assertTrue(!faults(text).isEmpty(), text);
+            assertTrue(!readErrors(text).isEmpty(), text);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
@@ -0,0 +1,63 @@
+package terndyke.lab.plan;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.Set;
+
+import org.junit.jupiter.api.Test;
+
+import terndyke.lab.plan.Failure.Kind;
+
+class ExperimentShrinkerTest {
+    private final Experiment baseExperiment = baseExperiment();
+
+    private static Experiment baseExperiment() {
+        try {
+            return ExperimentFile.read("day", ExperimentFileTest.VALID_EXPERIMENT.replace("length: 4s", "length: 16s"));
+        } catch (UserInputException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private Experiment withFailures(Kind... kinds) {
+        return baseExperiment.withFailures(java.util.Arrays.stream(kinds)
+                .map(kind -> new Failure(kind, TimeSpan.of("1s"), TimeSpan.of("2s"), null, null)).toList());
+    }
+
+    private static Set<Kind> failureKinds(Experiment day) {
+        Set<Kind> kinds = new HashSet<>();
+        day.failures().forEach(failure -> kinds.add(failure.kind()));
+        return kinds;
+    }
+
+    @Test
+    void theTwoFailuresThatFailOnlyTogetherAreKept() throws Exception {
+        Set<Kind> culprits = Set.of(Kind.KILL, Kind.SILENT);
+        ExperimentShrinker shrinker = new ExperimentShrinker(day -> failureKinds(day).containsAll(culprits) && day.length().micros() >= 3_000_000, 1,
+                text -> { });
+        Experiment least = shrinker.shrink(withFailures(Kind.HANG, Kind.KILL, Kind.SLOW, Kind.MUTE, Kind.SILENT, Kind.DRAIN,
+                Kind.LIST_LATE));
+        assertEquals(culprits, failureKinds(least));
+        assertEquals(2, least.failures().size());
+        assertEquals(4_000_000, least.length().micros());
+        assertTrue(least.failures().stream().allMatch(failure -> failure.lasts().micros() < 200_000));
+    }
+
+    @Test
+    void anExperimentThatDoesNotFailIsNotShrunk() throws Exception {
+        assertNull(new ExperimentShrinker(day -> false, 1, text -> { }).shrink(withFailures(Kind.HANG)));
+    }
+
+    @Test
+    void theSameSeedGeneratesTheSameConsistentExperiment() {
+        for (long seed = 1; seed <= 50; seed++) {
+            Experiment drawn = ExperimentGenerator.generate(baseExperiment, seed);
+            assertEquals(ExperimentFile.toYaml(drawn), ExperimentFile.toYaml(ExperimentGenerator.generate(baseExperiment, seed)));
+            assertTrue(drawn.findInconsistencies().isEmpty(), drawn.findInconsistencies().toString());
+        }
+        assertTrue(!ExperimentGenerator.generate(baseExperiment, 1).failures().equals(ExperimentGenerator.generate(baseExperiment, 2).failures()));
+    }
+}
--- a/src/test/java/terndyke/lab/run/LabProcessTest.java
+++ b/src/test/java/terndyke/lab/run/LabProcessTest.java
@@ -22,7 +22,7 @@
 
 /** The laboratory as its users start it: a process of its own, with real nodes as its children. */
 class LabProcessTest {
-    private static final String DAY = """
+    private static final String EXPERIMENT = """
             name: short
             about: a short day with a killed node and a hung destination
             length: %s
@@ -45,34 +45,34 @@
     @TempDir
     Path folder;
 
-    private Process lab(String... arguments) throws IOException {
+    private Process startLab(String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "terndyke.Main", "lab"));
         command.addAll(List.of(arguments));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
     }
 
-    private String run(String length) throws IOException {
+    private String writeExperiment(String length) throws IOException {
         Path file = folder.resolve("day.yaml");
-        Files.writeString(file, DAY.formatted(length));
+        Files.writeString(file, EXPERIMENT.formatted(length));
         return file.toString();
     }
 
-    private static String rest(Process process) throws IOException {
+    private static String readOutput(Process process) throws IOException {
         return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    private JsonNode summary() throws IOException {
+    private JsonNode readSummary() throws IOException {
         return new ObjectMapper().readTree(folder.resolve("out/summary.json").toFile());
     }
 
     @Test
     void realNodesKeepTheRulesThroughAKillAndTheReportSaysSo() throws Exception {
-        Process lab = lab("run", run("2500ms"), "--out", folder.resolve("out").toString());
-        String said = rest(lab);
+        Process lab = startLab("run", writeExperiment("2500ms"), "--out", folder.resolve("out").toString());
+        String said = readOutput(lab);
         assertEquals(0, lab.waitFor(), said);
         assertTrue(said.contains("all six rules kept"), said);
-        JsonNode summary = summary();
+        JsonNode summary = readSummary();
         assertTrue(summary.at("/messages/done").asInt() > 30, said);
         assertTrue(summary.at("/calls/ran").asInt() > 30, said);
         String page = Files.readString(folder.resolve("out/report.html"));
@@ -84,7 +84,7 @@
 
     @Test
     void anInterruptStopsEveryNodeAndStillWritesTheReport() throws Exception {
-        Process lab = lab("run", run("60s"), "--out", folder.resolve("out").toString());
+        Process lab = startLab("run", writeExperiment("60s"), "--out", folder.resolve("out").toString());
         BufferedReader lines = new BufferedReader(new InputStreamReader(lab.getInputStream(), StandardCharsets.UTF_8));
         String line = lines.readLine();
         while (line != null && !line.contains("handed in")) {
@@ -96,20 +96,20 @@
         assertTrue(lab.waitFor(60, TimeUnit.SECONDS));
         assertEquals(3, lab.exitValue());
         assertTrue(nodes.stream().noneMatch(ProcessHandle::isAlive));
-        assertEquals("interrupted", summary().path("void").asText());
+        assertEquals("interrupted", readSummary().path("void").asText());
         assertTrue(Files.size(folder.resolve("out/report.html")) > 10_000);
     }
 
     @Test
-    void badInputIsToldWholeAndEndsWithTwo() throws Exception {
+    void allInputErrorsAreReportedAndTheExitStatusIsTwo() throws Exception {
         Path file = folder.resolve("bad.yaml");
-        Files.writeString(file, DAY.formatted("soon").replace("rate: 30", "rate: fast, sahpe: wave"));
-        Process lab = lab("run", file.toString());
-        String said = rest(lab);
+        Files.writeString(file, EXPERIMENT.formatted("soon").replace("rate: 30", "rate: fast, sahpe: wave"));
+        Process lab = startLab("run", file.toString());
+        String said = readOutput(lab);
         assertEquals(2, lab.waitFor(), said);
         assertTrue(said.contains("bad.yaml:3: length") && said.contains("load.rate") && said.contains("load.sahpe"), said);
-        assertEquals(2, lab("run").waitFor());
-        assertEquals(2, lab("stroll").waitFor());
-        assertEquals(2, lab("load", "--to", "192.0.2.1:80").waitFor());
+        assertEquals(2, startLab("run").waitFor());
+        assertEquals(2, startLab("stroll").waitFor());
+        assertEquals(2, startLab("load", "--to", "192.0.2.1:80").waitFor());
     }
 }
--- a/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
+++ b/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
@@ -15,8 +15,8 @@
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.ExperimentFile;
 import terndyke.lab.referee.Breach;
-import terndyke.lab.run.Day;
-import terndyke.lab.run.Outcome;
+import terndyke.lab.run.ExperimentRun;
+import terndyke.lab.run.ExperimentResult;
 import terndyke.lab.standin.StandInNode.Fault;
 
 /** The referee on sockets: a node that breaks just one rule is found, one that keeps them all is not blamed. */
@@ -52,12 +52,12 @@
     @EnumSource(Fault.class)
     void refereeReportsExactlyTheRuleThatTheStandInBreaks(Fault fault) throws Exception {
         Experiment day = ExperimentFile.read("proving", EXPERIMENT);
-        Outcome outcome = new Day(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).play();
-        assertNull(outcome.voided());
+        ExperimentResult outcome = new ExperimentRun(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).execute();
+        assertNull(outcome.voidedBecause());
         List<Integer> broken = outcome.breaches().stream().map(Breach::rule).distinct().sorted().toList();
         int rule = fault.ordinal(); // faults stand in the order of the rules they break
         assertEquals(rule == 0 ? List.of() : List.of(rule), broken, outcome.breaches()::toString);
         assertEquals(rule == 0 ? 0 : 1, outcome.status());
-        assertTrue(outcome.offered() > 300);
+        assertTrue(outcome.offeredCount() > 300);
     }
 }
