--- a/src/main/java/terndyke/api/Event.java
+++ b/src/main/java/terndyke/api/Event.java
@@ -2,50 +2,54 @@
 
 import java.util.List;
 
-/** What happened at a delivery node, in protocol-neutral terms. Times are whole microseconds. */
+/** What happened at a delivery node, independent of the protocol. Times are whole microseconds. */
 public sealed interface Event {
 
-    /** The list of endpoints: the whole of it, or the entries that changed. */
+    /** The list of endpoints: all of it if complete is true, else the entries that changed. */
     record ListReceived(List<ListedEndpoint> entries, boolean complete) implements Event { }
 
-    /** A call for the list, or the subscription to it, failed; for the door alone, as the list stays in force. */
+    /**
+     * A request for the list, or the subscription to it, failed. It matters only for requesting the list again, as the last
+     * list stays valid.
+     */
     record ListRequestFailed() implements Event { }
 
-    /** A record was taken. Key 0 means none; workHint is 0 where the client gave none. */
+    /** A record was accepted. Key 0 means no key; workHint is 0 if the client gave none. */
     record RecordAccepted(long id, int grade, int tenant, long key, long remainingTime, long workHint, int destination,
             boolean clientRetry, boolean write, boolean fromDeadNode) implements Event { }
 
-    /** A shot got its outcome. Wait is 0 where none was told; recordOver is true once the record has ended. */
+    /** A shot ended. retryAfter is 0 if no wait was requested; recordEnded is true if the record has ended with it. */
     record ShotEnded(long id, int shotIndex, long endpoint, Ending ending, long elapsed, long retryAfter, boolean noFreeSlot,
             boolean recordEnded, float[] loadReport) implements Event { }
 
-    /** The answer to a shot has started to stream. */
+    /** The response to a shot has started to arrive. */
     record ResponseStarted(long id, int shotIndex, long endpoint, long elapsed) implements Event { }
 
     /**
-     * A record that the last life of this node took and still owed; it comes before any new one, in the order of
-     * taking. Where ended is true its end is decided and only the telling is owed, or its shots may still run.
+     * A record that the previous run of this node accepted and did not finish. These events come before those of new
+     * records, in the order in which the records were accepted. If ended is true, the end of the record is decided: only
+     * the delivery of its final answer is missing, or its shots may still run.
      */
     record RecordRestored(RecordAccepted accepted, List<EarlierShot> earlierShots, boolean ended) implements Event { }
 
-    /** A shot of the last life, fired so long ago; ending is null where the life ended before the shot did. */
+    /** A shot of the previous run, sent the time age ago; ending is null if the run ended before the shot did. */
     record EarlierShot(long endpoint, int zone, long age, Ending ending) { }
 
-    /** The final answer that the dispatcher gave for a record has been told; until then the record is not over. */
+    /** The final answer that the dispatcher gave for a record has been delivered; until then the record is not finished. */
     record FinalAnswerDelivered(long id) implements Event { }
 
-    /** The node is about to go and waits for no outcome longer than this. */
+    /** The node is shutting down and waits for outcomes no longer than gracePeriod. */
     record NodeShuttingDown(long gracePeriod) implements Event { }
 
-    /** The client withdrew the record; nothing more is owed for it. */
+    /** The client withdrew the record, or the node did not accept it after all; it needs no further answer. */
     record RecordWithdrawn(long id) implements Event { }
 
-    /** A wake-up that was asked for has come. */
+    /** A timer requested by {@link Action.StartTimer} has expired. */
     record TimerExpired(int token) implements Event { }
 
     /** A probe ended. */
     record ProbeEnded(long endpoint, Ending ending, long elapsed, float[] loadReport) implements Event { }
 
-    /** A note from another delivery node. */
+    /** A message from another delivery node. */
     record PeerMessageReceived(int from, byte[] content) implements Event { }
 }
--- a/src/main/java/terndyke/api/ListedEndpoint.java
+++ b/src/main/java/terndyke/api/ListedEndpoint.java
@@ -1,9 +1,9 @@
 package terndyke.api;
 
-/** One entry of the list. Rate is what the list states of the endpoint's weight. */
+/** One entry of the list of endpoints; rate is the weight that the list states for the endpoint. */
 public record ListedEndpoint(long endpoint, int zone, int kind, float rate, EndpointState state, long joined,
         int destination) {
 
-    /** What the list says of an endpoint; it says nothing of health. */
+    /** The state of an endpoint according to the list, which does not tell whether it is healthy. */
     public enum EndpointState { READY, DRAINING, GONE }
 }
--- a/src/main/java/terndyke/decision/Dispatcher.java
+++ b/src/main/java/terndyke/decision/Dispatcher.java
@@ -6,40 +6,55 @@
 import terndyke.api.*;
 import terndyke.decision.PendingRecord.*;
 
-/** One entry point: turn() takes what happened and returns what is to be done. The design (RoutePicker over
- * Route's fits) decides where records go, and a sick destination holds at most half of the slots. Beside it
- * stand six mechanisms: (1) the pace learned from refusals and (2) suspicion of an outage with its budgeted
- * return, in Destination; (3) late shots, (4) payoff order, (5) holding room here; (6) key lines in Held. */
+/**
+ * Decides what happens to every pending record. {@link #handleEvents} is the only entry point: it takes the events since
+ * the previous turn and returns the actions to perform. {@link RoutePicker} chooses the routes of a record by the latency
+ * fits of {@link Route}, and degraded destinations hold at most half of the slots. Six further mechanisms: (1) the call
+ * rate learned from refusals and (2) outage detection with a call budget during recovery, both in {@link FailureDomain};
+ * (3) overdue shots, (4) ordering by payoff and (5) the limit of pending records, here; (6) the queues of records with
+ * the same key, in {@link PendingRecord.KeyQueue}. Times are microseconds.
+ */
 public final class Dispatcher {
-    private static final double TARGET_RELIABILITY = 0.9, COPIES_PER_FIRST_SHOT = 0.1; // copies that each first shot earns
-    private static final long TICK_INTERVAL_MICROS = 20_000, RETRY_BACKOFF_MICROS = 100_000, SHORT_HORIZON_MICROS = 300_000, LONG_HORIZON_MICROS = 6_000_000;
+    private static final double TARGET_RELIABILITY = 0.9, // that a set of routes has to reach: R-hat of the design
+            COPIES_PER_FIRST_SHOT = 0.1; // how many second copies each first shot adds to the budget
+    private static final long TICK_INTERVAL_MICROS = 20_000, // between two checks for what is overdue or out of time
+            RETRY_BACKOFF_MICROS = 100_000, // before a record's second shot if the first may have run; doubled each time
+            SHORT_HORIZON_MICROS = 300_000, LONG_HORIZON_MICROS = 6_000_000; // soon and late; for the payoffs see urgency()
 
     private final DeliverySettings settings;
     private final Map<Integer, DestinationState> destinationStates = new LinkedHashMap<>();
     private final Map<Integer, OutcomeHistory> outcomesByHall = new HashMap<>();
     private final Map<Long, Route> routesByEndpoint = new LinkedHashMap<>();
-    private final Set<FailureDomain> activeDomains = new LinkedHashSet<>(); // with calls out, or suspect
-    private final Set<Route> idleCloseCandidates = new LinkedHashSet<>(); // those whose connections may go after this turn
-    private final Set<DestinationState> destinationsWithWaitingRecords = new LinkedHashSet<>(); // with records that wait
+    private final Set<FailureDomain> activeDomains = new LinkedHashSet<>(); // with calls out, or suspected of an outage
+    private final Set<Route> idleCloseCandidates = new LinkedHashSet<>(); // their idle connections may be closed after this turn
+    private final Set<DestinationState> destinationsWithWaitingRecords = new LinkedHashSet<>();
     private final Map<Long, PendingRecord> recordsById = new HashMap<>();
-    private final Map<Long, KeyQueue> keyQueues = new HashMap<>(), undeliveredAnswers = new HashMap<>(); // by key; by record
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>(), undeliveredAnswers = new HashMap<>(); // by key; by record id
     private final TreeSet<PendingRecord> recordsByAbandonTime = new TreeSet<>(
-            Comparator.comparingLong((PendingRecord held) -> held.abandonAt).thenComparingLong(held -> held.id));
+            Comparator.comparingLong((PendingRecord record) -> record.abandonAt).thenComparingLong(record -> record.id));
     private final Random random;
-    private final Map<Integer, Long> quotaUsedUntil = new HashMap<>(); // by tenant: until when
+    private final Map<Integer, Long> quotaUsedUntil = new HashMap<>(); // by tenant: time up to which its quota is consumed
     private final Map<Integer, EndpointKind> endpointKinds = new HashMap<>();
     private List<Action> actions;
-    private final int[] endedCalls = new int[2], lostCalls = new int[2]; // calls on new connections, on kept; halved
+    private final int[] endedCalls = new int[2], lostCalls = new int[2]; // [0] on new connections, [1] on reused; halved at times
     private long now, nextTickAt, nextListRequestAt, shutdownAt = Long.MAX_VALUE;
-    private int inFlightCallCount, degradedCallCount, failedListRequests; // calls out, in all and at sick destinations; for the list
-    private double copyBudget;
-
-    public Dispatcher(DeliverySettings terms) {
-        this.settings = terms;
-        random = new Random(terms.seed());
-        nextListRequestAt = terms.listOnRequest() ? 0 : Long.MAX_VALUE;
+    private int inFlightCallCount, degradedCallCount, // calls out: in all, and in degraded failure domains
+            failedListRequests; // since the last list
+    private double copyBudget; // how many second copies may be sent
+
+    public Dispatcher(DeliverySettings settings) {
+        this.settings = settings;
+        random = new Random(settings.seed());
+        nextListRequestAt = settings.listOnRequest() ? 0 : Long.MAX_VALUE;
     }
 
+    /**
+     * Runs one turn.
+     *
+     * @param time   the present time
+     * @param events what happened since the previous turn, in order
+     * @return the actions to perform, in order
+     */
     public List<Action> handleEvents(long time, List<Event> events) {
         now = time;
         actions = new ArrayList<>();
@@ -62,105 +77,119 @@
     }
 
     private void handleEvent(Event event) {
-        if (event instanceof Event.RecordAccepted taken) {
-            acceptRecord(taken);
-        } else if (event instanceof Event.RecordRestored owed) {
-            restoreRecord(owed);
+        if (event instanceof Event.RecordAccepted accepted) {
+            acceptRecord(accepted);
+        } else if (event instanceof Event.RecordRestored restored) {
+            restoreRecord(restored);
         } else if (event instanceof Event.ShotEnded ended) {
             handleShotEnded(ended);
-        } else if (event instanceof Event.ListReceived told) {
-            updateEndpoints(told);
+        } else if (event instanceof Event.ListReceived list) {
+            updateEndpoints(list);
             failedListRequests = 0;
-        } else if (event instanceof Event.ListRequestFailed && settings.listOnRequest()) { // all may ask: after a while
-            nextListRequestAt = now + (long) ((0.5 + random.nextDouble()) * (SHORT_HORIZON_MICROS << Math.min(3, failedListRequests++)));
+        } else if (event instanceof Event.ListRequestFailed && settings.listOnRequest()) {
+            // all nodes may request the list at once, so each retries after a random backoff
+            nextListRequestAt = now
+                    + (long) ((0.5 + random.nextDouble()) * (SHORT_HORIZON_MICROS << Math.min(3, failedListRequests++)));
         } else if (event instanceof Event.ProbeEnded probe && routesByEndpoint.containsKey(probe.endpoint())) {
             Route route = routesByEndpoint.get(probe.endpoint());
             route.failureDomain.probeEnded(now, probe.ending(), probe.loadReport());
             checkConnectionLimit(route, probe.ending());
-        } else if (event instanceof Event.FinalAnswerDelivered told && undeliveredAnswers.containsKey(told.id())) {
-            undeliveredAnswers.remove(told.id()).outstandingCount--;
-        } else if (event instanceof Event.NodeShuttingDown leaving) {
-            shutdownAt = now + leaving.gracePeriod();
-        } else if (event instanceof Event.RecordWithdrawn gone && recordsById.containsKey(gone.id())) {
-            endRecord(recordsById.get(gone.id()));
+        } else if (event instanceof Event.FinalAnswerDelivered delivered && undeliveredAnswers.containsKey(delivered.id())) {
+            undeliveredAnswers.remove(delivered.id()).outstandingCount--;
+        } else if (event instanceof Event.NodeShuttingDown shutdown) {
+            shutdownAt = now + shutdown.gracePeriod();
+        } else if (event instanceof Event.RecordWithdrawn withdrawn && recordsById.containsKey(withdrawn.id())) {
+            endRecord(recordsById.get(withdrawn.id()));
         }
     }
 
-    private void updateEndpoints(Event.ListReceived told) {
-        if (told.complete()) {
+    private void updateEndpoints(Event.ListReceived list) {
+        if (list.complete()) {
             routesByEndpoint.values().forEach(route -> route.updateState(ListedEndpoint.EndpointState.GONE, now));
         }
-        for (ListedEndpoint entry : told.entries()) {
-            Route route = routesByEndpoint.computeIfAbsent(entry.endpoint(), e -> createRoute(entry));
+        for (ListedEndpoint entry : list.entries()) {
+            Route route = routesByEndpoint.computeIfAbsent(entry.endpoint(), endpoint -> createRoute(entry));
             route.updateState(entry.state(), now);
             route.failureDomain.listedRate = entry.rate() / settings.listedRateAccuracy().maxOverstatement();
         }
     }
 
     private Route createRoute(ListedEndpoint entry) {
-        DestinationState addressee = destinationStates.computeIfAbsent(entry.destination(), number -> new DestinationState());
+        DestinationState destination = destinationStates.computeIfAbsent(entry.destination(), number -> new DestinationState());
         int kind = entry.kind();
-        addressee.kind = endpointKinds.computeIfAbsent(kind, number -> new EndpointKind());
-        addressee.maxRecordsPerCall = kind < settings.maxRecordsPerCallByKind().size() ? settings.maxRecordsPerCallByKind().get(kind) : 1;
-        boolean apart = kind < settings.independentRoutesByKind().size() && settings.independentRoutesByKind().get(kind);
-        FailureDomain destination = !apart && !addressee.routes.isEmpty() ? addressee.routes.get(0).failureDomain
+        destination.kind = endpointKinds.computeIfAbsent(kind, number -> new EndpointKind());
+        destination.maxRecordsPerCall = kind < settings.maxRecordsPerCallByKind().size()
+                ? settings.maxRecordsPerCallByKind().get(kind) : 1;
+        boolean independent = kind < settings.independentRoutesByKind().size() && settings.independentRoutesByKind().get(kind);
+        FailureDomain failureDomain = !independent && !destination.routes.isEmpty() ? destination.routes.get(0).failureDomain
                 : new FailureDomain(settings, random, line -> actions.add(new Action.Log(line)));
-        Route route = new Route(entry.endpoint(), entry.zone(), addressee, destination,
+        Route route = new Route(entry.endpoint(), entry.zone(), destination, failureDomain,
                 outcomesByHall.computeIfAbsent(entry.zone(), zone -> new OutcomeHistory()));
-        route.fee = (apart ? settings.hallFee(route.zone) : 0)
+        route.fee = (independent ? settings.hallFee(route.zone) : 0)
                 + (route.zone == settings.zone() ? 0 : settings.zoneCrossingPrice());
-        addressee.routes.add(route);
         destination.routes.add(route);
+        failureDomain.routes.add(route);
         return route;
     }
 
-    private PendingRecord acceptRecord(Event.RecordAccepted taken) {
-        ServiceGrade grade = settings.grades().get(taken.grade());
-        DestinationState addressee = destinationStates.computeIfAbsent(taken.destination(), number -> new DestinationState());
-        double payoff = grade.payoff() * (consumeQuota(taken.tenant()) ? 1 : settings.overQuotaPayoffFactor());
-        KeyQueue line = grade.inOrder() && taken.key() != 0
-                ? keyQueues.computeIfAbsent(taken.key(), key -> new KeyQueue()) : new KeyQueue();
-        PendingRecord record = new PendingRecord(taken, now, grade, addressee, payoff, line);
-        recordsById.put(taken.id(), record);
+    private PendingRecord acceptRecord(Event.RecordAccepted accepted) {
+        ServiceGrade grade = settings.grades().get(accepted.grade());
+        DestinationState destination = destinationStates.computeIfAbsent(accepted.destination(),
+                number -> new DestinationState());
+        double payoff = grade.payoff() * (consumeQuota(accepted.tenant()) ? 1 : settings.overQuotaPayoffFactor());
+        KeyQueue keyQueue = grade.inOrder() && accepted.key() != 0
+                ? keyQueues.computeIfAbsent(accepted.key(), key -> new KeyQueue()) : new KeyQueue();
+        PendingRecord record = new PendingRecord(accepted, now, grade, destination, payoff, keyQueue);
+        recordsById.put(accepted.id(), record);
         recordsByAbandonTime.add(record);
-        line.records.add(record);
+        keyQueue.records.add(record);
         enqueue(record, now);
         return record;
     }
 
-    /** Rules 2 and 5 over any restart: a shot out at the end of the last life may have run. */
-    private void restoreRecord(Event.RecordRestored owed) {
-        PendingRecord record = acceptRecord(owed.accepted());
-        for (Event.EarlierShot past : owed.earlierShots()) {
-            Route route = new Route(past.endpoint(), past.zone(), record.destinationState, null, new OutcomeHistory());
-            Shot shot = new Shot(new Call(route, now - past.age()));
-            shot.ending = past.ending() == null ? Ending.RESET : past.ending();
+    /**
+     * Takes over a record that the previous run of this node still owed, so that rules 2 and 5 hold across a restart: a
+     * shot that was out when that run ended may have run.
+     */
+    private void restoreRecord(Event.RecordRestored restored) {
+        PendingRecord record = acceptRecord(restored.accepted());
+        for (Event.EarlierShot earlier : restored.earlierShots()) {
+            Route route = new Route(earlier.endpoint(), earlier.zone(), record.destinationState, null, new OutcomeHistory());
+            Shot shot = new Shot(new Call(route, now - earlier.age()));
+            shot.ending = earlier.ending() == null ? Ending.RESET : earlier.ending();
             record.shots.add(shot);
             record.keyQueue.shotEnded(record, shot.ending, now, settings.keyQuietPeriod());
         }
-        if (owed.ended()) {
+        if (restored.ended()) {
             awaitAnswerDelivery(record);
             endRecord(record);
         }
     }
 
-    /** A final answer that is still to be told: until then the record's key waits. */
+    /** Notes that the final answer is not delivered yet; until then no other record of the same key is sent. */
     private void awaitAnswerDelivery(PendingRecord record) {
-        record.keyQueue.outstandingCount += settings.reportsFinalAnswerDelivery() && undeliveredAnswers.put(record.id, record.keyQueue) == null ? 1 : 0;
+        record.keyQueue.outstandingCount += settings.reportsFinalAnswerDelivery()
+                && undeliveredAnswers.put(record.id, record.keyQueue) == null ? 1 : 0;
     }
 
-    /** A tenant's records beyond its share of two seconds are worth little; one is always within it. */
+    /**
+     * Counts a record against its tenant's quota and returns whether it is within. Records beyond this node's share of
+     * two seconds of quota have little payoff; a single record is always within, however small the share.
+     */
     private boolean consumeQuota(int tenant) {
         List<Double> quotas = settings.tenantQuotas();
-        long each = tenant < quotas.size() ? (long) (1e6 * settings.nodeCount() / quotas.get(tenant)) : 0;
-        long used = Math.max(quotaUsedUntil.getOrDefault(tenant, 0L), now - Math.max(each, 2_000_000));
-        quotaUsedUntil.put(tenant, used + each <= now ? used + each : used);
-        return used + each <= now;
+        long microsPerRecord = tenant < quotas.size() ? (long) (1e6 * settings.nodeCount() / quotas.get(tenant)) : 0;
+        long usedUntil = Math.max(quotaUsedUntil.getOrDefault(tenant, 0L), now - Math.max(microsPerRecord, 2_000_000));
+        quotaUsedUntil.put(tenant, usedUntil + microsPerRecord <= now ? usedUntil + microsPerRecord : usedUntil);
+        return usedUntil + microsPerRecord <= now;
     }
 
-    /** Holding room: of what could not go, the longest queue hands back what can win least. */
+    /**
+     * Bounces records shortly before the limit of pending records is reached: of those without a shot out, the longest
+     * queue gives up the record with the least payoff.
+     */
     private void bounceExcessRecords() {
-        for (int over = recordsByAbandonTime.size() - settings.maxPendingRecords() + 2; over > 0; over--) {
+        for (int excess = recordsByAbandonTime.size() - settings.maxPendingRecords() + 2; excess > 0; excess--) {
             recordsByAbandonTime.stream().filter(record -> record.inFlightShotCount == 0 && record.canBounce())
                     .min(Comparator.comparingInt((PendingRecord record) -> -record.destinationState.waitingRecords.size())
                     .thenComparingDouble(record -> record.payoffAt(now + LONG_HORIZON_MICROS, settings)))
@@ -174,7 +203,7 @@
         destinationsWithWaitingRecords.add(record.destinationState);
     }
 
-    /** The final answer, at once: a bounce where its promise holds, otherwise a termination. */
+    /** Gives the final answer at once: a bounce if another try by the client is harmless, otherwise a termination. */
     private void bounceOrTerminate(PendingRecord record) {
         actions.add(record.inFlightShotCount > 0 || !record.canBounce() ? new Action.Terminate(record.id)
                 : new Action.Bounce(record.id, Math.min(1_000_000, settings.maxRetryAfter())));
@@ -224,7 +253,7 @@
             if (ended.ending() != Ending.NOT_SENT && (ended.ending() != Ending.RECALLED || shot.recalled)) {
                 route.addOutcome(now, ended.ending(), ended.elapsed());
             }
-            if (updateAndCheckKeptConnectionLoss(call, ended.ending(), shot.recalled)
+            if (updateAndCheckReusedConnectionLoss(call, ended.ending(), shot.recalled)
                     || ended.ending() == Ending.CROWDED && isWidelyCrowded()) {
                 scheduleIdleClose(r -> true);
             }
@@ -238,13 +267,18 @@
         if (call.inFlightRecordCount == 0) {
             inFlightCallCount--;
             route.destinationState.inFlightCallCount--;
-            if (now < route.destinationState.kind.closeIdleUntil || route.wasCrowdedWithin(now, settings.idleConnectionTimeout())) {
+            if (now < route.destinationState.kind.closeIdleUntil
+                    || route.wasCrowdedWithin(now, settings.idleConnectionTimeout())) {
                 idleCloseCandidates.add(route);
             }
         }
     }
 
-    /** No connection: down, or as many held as it accepts? A probe tells, and needs none of them. */
+    /**
+     * A call that got no connection does not show whether the endpoint is down or holds as many connections as it
+     * accepts. A probe does, as it needs none of them: where it succeeds, rarely used connections to endpoints of this
+     * kind are closed.
+     */
     private void checkConnectionLimit(Route route, Ending ending) {
         EndpointKind kind = route.destinationState.kind;
         if (ending == Ending.DONE && now - route.failureDomain.lastConnectFailureAt < FailureDomain.MIN_OUTAGE_MICROS) {
@@ -256,21 +290,28 @@
         }
     }
 
-    /** Calls on kept connections end without an answer far more often than those on new ones. */
-    private boolean updateAndCheckKeptConnectionLoss(Call call, Ending ending, boolean late) {
-        boolean gone = ending == Ending.RESET || ending == Ending.TIMED_OUT
-                || late && ending == Ending.RECALLED;
-        int kept = call.neededNewConnection ? 0 : 1;
-        lostCalls[kept] += gone ? 1 : 0;
-        endedCalls[kept] += gone || ending == Ending.DONE ? 1 : 0;
-        for (int i = 0; endedCalls[kept] > OutcomeHistory.MAX_OUTCOMES && i < 2; i++) {
+    /**
+     * Updates the counts of lost calls. Returns true if calls on reused connections end without an answer far more often
+     * than those on new ones, as they do where idle connections are dropped unnoticed.
+     */
+    private boolean updateAndCheckReusedConnectionLoss(Call call, Ending ending, boolean recalledAsOverdue) {
+        boolean lost = ending == Ending.RESET || ending == Ending.TIMED_OUT
+                || recalledAsOverdue && ending == Ending.RECALLED;
+        int reused = call.neededNewConnection ? 0 : 1;
+        lostCalls[reused] += lost ? 1 : 0;
+        endedCalls[reused] += lost || ending == Ending.DONE ? 1 : 0;
+        for (int i = 0; endedCalls[reused] > OutcomeHistory.MAX_OUTCOMES && i < 2; i++) {
             lostCalls[i] /= 2;
             endedCalls[i] /= 2;
         }
-        return gone && kept == 1 && lostCalls[1] >= 2 && lostCalls[1] * (1 + endedCalls[0]) > 2 * (1 + lostCalls[0]) * endedCalls[1];
+        return lost && reused == 1 && lostCalls[1] >= 2
+                && lostCalls[1] * (1 + endedCalls[0]) > 2 * (1 + lostCalls[0]) * endedCalls[1];
     }
 
-    /** Connections in rare use close at once for a while: others need the room, or idle ones are dropped. */
+    /**
+     * For a while, closes rarely used connections of these routes at once: other nodes need the connections, or idle
+     * ones are dropped by the other side.
+     */
     private void scheduleIdleClose(Predicate<Route> which) {
         routesByEndpoint.values().stream().filter(which).forEach(route -> {
             idleCloseCandidates.add(route);
@@ -278,36 +319,47 @@
         });
     }
 
-    /** Half of the routes in use: then room is short at the others too, and else only where it shows. */
+    /**
+     * True if at least half of the routes in use were crowded lately: then connections are short everywhere, otherwise
+     * only at the crowded endpoints.
+     */
     private boolean isWidelyCrowded() {
-        return 2 * routesByEndpoint.values().stream().filter(route -> route.wasCrowdedWithin(now, settings.idleConnectionTimeout())).count()
-                >= routesByEndpoint.values().stream().filter(route -> now - route.lastCallEndedAt < settings.idleConnectionTimeout()).count();
+        return 2 * routesByEndpoint.values().stream()
+                .filter(route -> route.wasCrowdedWithin(now, settings.idleConnectionTimeout())).count()
+                >= routesByEndpoint.values().stream()
+                .filter(route -> now - route.lastCallEndedAt < settings.idleConnectionTimeout()).count();
     }
 
-    /** Connections in rare use go, once no record that waits can go on them: each costs others a place. */
+    /**
+     * Closes the idle connections of a rarely used route and returns true if it did. This runs at the end of a turn, when
+     * no waiting record can use them; each connection held here is one fewer for the other nodes.
+     */
     private boolean closeIfRarelyUsed(Route route) {
-        boolean rare = now - route.lastCallEndedAt > 2 * SHORT_HORIZON_MICROS || now == route.lastCallEndedAt
-                && (route.outcomes.meanCallInterval(now) > 2 * SHORT_HORIZON_MICROS || route.wasCrowdedWithin(now, settings.idleConnectionTimeout()));
-        if (rare) {
+        boolean rarelyUsed = now - route.lastCallEndedAt > 2 * SHORT_HORIZON_MICROS || now == route.lastCallEndedAt
+                && (route.outcomes.meanCallInterval(now) > 2 * SHORT_HORIZON_MICROS
+                || route.wasCrowdedWithin(now, settings.idleConnectionTimeout()));
+        if (rarelyUsed) {
             route.openConnections = route.inFlightCallCount;
             actions.add(new Action.CloseIdleConnections(route.endpoint));
         }
-        return rare;
+        return rarelyUsed;
     }
 
     private void tick() {
-        keyQueues.values().removeIf(line -> line.isIdle(now));
+        keyQueues.values().removeIf(keyQueue -> keyQueue.isIdle(now));
         routesByEndpoint.values().removeIf(route -> route.removeIfExpired(now));
-        activeDomains.removeIf(target -> target.inFlightCalls.isEmpty() && (!target.suspect() || target.routes.isEmpty()));
-        long out = activeDomains.stream().filter(destination -> !destination.inFlightCalls.isEmpty()).count();
-        long late = activeDomains.stream().filter(destination -> destination.overdueScore(now) > 0).count();
-        String why = late > 2 && 2 * late > out ? null : late + " of " + out + " late"; // or slow everywhere
-        for (FailureDomain destination : activeDomains) {
-            destination.suspect(now, why, why != null && destination.overdueScore(now) >= 2);
-            destination.nextProbeRoute(now).ifPresent(route -> actions.add(new Action.Probe(route.endpoint)));
+        activeDomains.removeIf(domain -> domain.inFlightCalls.isEmpty() && (!domain.isSuspect() || domain.routes.isEmpty()));
+        long domainsWithCalls = activeDomains.stream().filter(domain -> !domain.inFlightCalls.isEmpty()).count();
+        long domainsWithOverdueCalls = activeDomains.stream().filter(domain -> domain.overdueScore(now) > 0).count();
+        String reason = domainsWithOverdueCalls > 2 && 2 * domainsWithOverdueCalls > domainsWithCalls ? null // slow everywhere
+                : domainsWithOverdueCalls + " of " + domainsWithCalls + " destinations with overdue calls";
+        for (FailureDomain domain : activeDomains) {
+            domain.markSuspectIf(now, reason, reason != null && domain.overdueScore(now) >= 2);
+            domain.nextProbeRoute(now).ifPresent(route -> actions.add(new Action.Probe(route.endpoint)));
         }
         for (PendingRecord record : List.copyOf(recordsByAbandonTime)) {
-            if (record.abandonAt <= now + TICK_INTERVAL_MICROS + 2 * settings.turnInterval() || record.isUndeliverable(now, settings)) {
+            if (record.abandonAt <= now + TICK_INTERVAL_MICROS + 2 * settings.turnInterval()
+                    || record.isUndeliverable(now, settings)) {
                 bounceOrTerminate(record);
             } else if (record.inFlightShotCount == 1 && !record.destinationState.waitingRecords.contains(record)) {
                 handleOverdueShot(record);
@@ -315,32 +367,40 @@
         }
     }
 
-    /** An overdue shot is doubled, or recalled where copies are barred or the sick crowd the slots. */
+    /**
+     * Handles a record whose only shot is out. If the shot is overdue, a copy is sent by another route. The shot is
+     * recalled instead where it holds a slot that others need, or where copies are not allowed, its own failure domain is
+     * suspected of an outage and another route can take the record.
+     */
     private void handleOverdueShot(PendingRecord record) {
         Shot shot = record.shots.stream().filter(s -> s.ending == null).findFirst().orElseThrow();
         Route route = shot.call.route;
-        long age = now - shot.call.startedAt, bound = route.overdueAfter(now);
-        boolean crowded = inFlightCallCount >= settings.slots() && age > 3 * bound
-                || 2 * degradedCallCount >= settings.slots() && route.failureDomain.suspect();
-        boolean late = !shot.recalled && age > bound;
-        boolean elsewhere = late && record.destinationState.routes.stream().anyMatch(other -> other != route
+        long age = now - shot.call.startedAt, overdueAfter = route.overdueAfter(now);
+        boolean slotNeeded = inFlightCallCount >= settings.slots() && age > 3 * overdueAfter
+                || 2 * degradedCallCount >= settings.slots() && route.failureDomain.isSuspect();
+        boolean overdue = !shot.recalled && age > overdueAfter;
+        boolean otherRouteUsable = overdue && record.destinationState.routes.stream().anyMatch(other -> other != route
                 && !other.failureDomain.isDegraded(now) && isUsable(other) && record.permitsShot(other, now, settings, shot));
-        boolean moves = crowded || !settings.copiesAllowed() && elsewhere && route.failureDomain.suspect();
-        if (late && settings.recallsAllowed() && moves) {
+        boolean recall = slotNeeded || !settings.copiesAllowed() && otherRouteUsable && route.failureDomain.isSuspect();
+        if (overdue && settings.recallsAllowed() && recall) {
             shot.recalled = true;
             actions.add(new Action.Recall(record.id, record.shots.indexOf(shot)));
-        } else if (settings.copiesAllowed() && elsewhere && 4 * inFlightCallCount < 3 * settings.slots() - 3 && copyBudget >= 1) {
+        } else if (settings.copiesAllowed() && otherRouteUsable && 4 * inFlightCallCount < 3 * settings.slots() - 3
+                && copyBudget >= 1) {
             enqueue(record, now);
         }
     }
 
-    /** Payoff order: what is lost where the record is answered later, and a little for what is won at all. */
+    /**
+     * The urgency by which records are sent: the payoff that is lost if the record is answered late instead of soon, plus
+     * a fifth of its late payoff, so that a record that loses nothing by waiting has some urgency too.
+     */
     private double urgency(PendingRecord record) {
         return record.payoffAt(now + SHORT_HORIZON_MICROS, settings) - 0.8 * record.payoffAt(now + LONG_HORIZON_MICROS, settings);
     }
 
     private void dispatch() {
-        destinationsWithWaitingRecords.removeIf(addressee -> addressee.waitingRecords.isEmpty());
+        destinationsWithWaitingRecords.removeIf(destination -> destination.waitingRecords.isEmpty());
         degradedCallCount = activeDomains.stream().filter(d -> d.isDegraded(now)).mapToInt(d -> d.inFlightCalls.size()).sum();
         if (inFlightCallCount < settings.slots()) {
             destinationsWithWaitingRecords.forEach(this::selectNextRecord);
@@ -352,68 +412,73 @@
     }
 
     private Optional<DestinationState> mostUrgentDestination() {
-        return destinationsWithWaitingRecords.stream().filter(addressee -> addressee.nextRecord != null)
-                .max(Comparator.comparingDouble(addressee -> addressee.nextUrgency));
+        return destinationsWithWaitingRecords.stream().filter(destination -> destination.nextRecord != null)
+                .max(Comparator.comparingDouble(destination -> destination.nextUrgency));
     }
 
-    /** Finds the addressee's dearest record that may go now, and its payoff for each moment of a slot. */
-    private void selectNextRecord(DestinationState addressee) {
-        addressee.degraded = addressee.routes.stream().anyMatch(route -> route.failureDomain.isDegraded(now));
-        List<Route> usable = addressee.routes.stream().filter(this::isUsable).toList();
-        double price = usable.stream().mapToDouble(route -> route.failureDomain.expectedLatency(now)).min().orElse(1);
-        addressee.nextRecord = null;
-        addressee.nextUrgency = 0;
-        for (PendingRecord record : usable.isEmpty() ? Set.<PendingRecord>of() : addressee.waitingRecords) {
-            double urgency = urgency(record) / price;
-            if (urgency > addressee.nextUrgency && record.notBefore <= now && record.keyQueue.canSend(record, now)
+    /** Finds the destination's most urgent record that may be sent now, and its urgency per expected time in a slot. */
+    private void selectNextRecord(DestinationState destination) {
+        destination.degraded = destination.routes.stream().anyMatch(route -> route.failureDomain.isDegraded(now));
+        List<Route> usable = destination.routes.stream().filter(this::isUsable).toList();
+        double expectedSlotTime = usable.stream().mapToDouble(route -> route.failureDomain.expectedLatency(now)).min().orElse(1);
+        destination.nextRecord = null;
+        destination.nextUrgency = 0;
+        for (PendingRecord record : usable.isEmpty() ? Set.<PendingRecord>of() : destination.waitingRecords) {
+            double urgency = urgency(record) / expectedSlotTime;
+            if (urgency > destination.nextUrgency && record.notBefore <= now && record.keyQueue.canSend(record, now)
                     && usable.stream().anyMatch(route -> record.permitsShot(route, now, settings, null))) {
-                addressee.nextRecord = record;
-                addressee.nextUrgency = urgency;
+                destination.nextRecord = record;
+                destination.nextUrgency = urgency;
             }
         }
     }
 
     private boolean isUsable(Route route) {
-        FailureDomain destination = route.failureDomain;
-        boolean capped = route.destinationState.degraded && 2 * (route.destinationState.inFlightCallCount + 1) > settings.slots()
-                || 2 * degradedCallCount >= settings.slots() && destination.isDegraded(now) && !destination.suspect();
+        FailureDomain domain = route.failureDomain;
+        // degraded destinations together hold at most half of the slots
+        boolean capReached = route.destinationState.degraded
+                && 2 * (route.destinationState.inFlightCallCount + 1) > settings.slots()
+                || 2 * degradedCallCount >= settings.slots() && domain.isDegraded(now) && !domain.isSuspect();
         return route.isReady() && now + route.fit(now).meanLatency() < shutdownAt
-                && (hasJoinableCall(route) || !capped && inFlightCallCount < settings.slots()
-                && (now >= route.backoffUntil || destination.suspect()) && route.hasConnectionAvailable(now)
-                && destination.admitsCall(now));
+                && (hasJoinableCall(route) || !capReached && inFlightCallCount < settings.slots()
+                && (now >= route.backoffUntil || domain.isSuspect()) && route.hasConnectionAvailable(now)
+                && domain.admitsCall(now));
     }
 
     private boolean hasJoinableCall(Route route) {
         return route.joinableCall != null && route.joinableCall.startedAt == now && now >= route.failureDomain.waitUntil
-                && route.joinableCall.recordCount < route.destinationState.maxRecordsPerCall && route.failureDomain.acceptsMoreRecords();
+                && route.joinableCall.recordCount < route.destinationState.maxRecordsPerCall
+                && route.failureDomain.acceptsMoreRecords();
     }
 
     private void sendOnBestRoutes(PendingRecord record) {
-        List<Route> choice = record.destinationState.routes.stream()
+        List<Route> candidates = record.destinationState.routes.stream()
                 .filter(route -> isUsable(route) && record.permitsShot(route, now, settings, null))
-                .sorted(Comparator.comparingInt(route -> route.callCount)).toList(); // unsampled ones in turn
-        boolean again = record.inFlightShotCount > 0;
-        copyBudget = Math.min(settings.slots(), copyBudget + (again ? -1 : COPIES_PER_FIRST_SHOT));
-        RoutePicker.Fit[] fits = choice.stream().map(route -> route.fit(now)).toArray(RoutePicker.Fit[]::new);
-        boolean pair = settings.copiesAllowed() && !again && record.grade.repeatSemantics() != ServiceGrade.RepeatSemantics.UNREPEATABLE
+                .sorted(Comparator.comparingInt(route -> route.callCount)).toList(); // routes without outcomes take turns
+        boolean isCopy = record.inFlightShotCount > 0;
+        copyBudget = Math.min(settings.slots(), copyBudget + (isCopy ? -1 : COPIES_PER_FIRST_SHOT));
+        RoutePicker.Fit[] fits = candidates.stream().map(route -> route.fit(now)).toArray(RoutePicker.Fit[]::new);
+        boolean sendPair = settings.copiesAllowed() && !isCopy
+                && record.grade.repeatSemantics() != ServiceGrade.RepeatSemantics.UNREPEATABLE
                 && record.destinationState.maxRecordsPerCall == 1 && 2 * (inFlightCallCount + 2) <= settings.slots()
                 && !record.destinationState.degraded && copyBudget >= 1;
-        double[] prices = choice.stream().mapToDouble(this::shotPrice).toArray();
-        int set = RoutePicker.pickSubset(fits, prices, record.grade.targetTime(), record.abandonAt - now, TARGET_RELIABILITY,
-                pair ? 2 : 1);
+        double[] prices = candidates.stream().mapToDouble(this::shotPrice).toArray();
+        int chosenRoutes = RoutePicker.pickSubset(fits, prices, record.grade.targetTime(), record.abandonAt - now,
+                TARGET_RELIABILITY, sendPair ? 2 : 1);
         for (int i = 0; i < fits.length; i++) {
-            if ((set >> i & 1) != 0 && isUsable(choice.get(i))
-                    && record.permitsShot(choice.get(i), now, settings, null)) {
-                copyBudget -= record.inFlightShotCount > 0 && !again ? 1 : 0;
-                sendShot(record, choice.get(i));
+            if ((chosenRoutes >> i & 1) != 0 && isUsable(candidates.get(i))
+                    && record.permitsShot(candidates.get(i), now, settings, null)) {
+                copyBudget -= record.inFlightShotCount > 0 && !isCopy ? 1 : 0;
+                sendShot(record, candidates.get(i));
             }
         }
     }
 
-    /** What a call by this route takes off the result: its hall's fee, a crossing, a new connection. */
+    /** The price of a shot by this route, in points: the fee of its hall, a zone crossing, a new connection. */
     private double shotPrice(Route route) {
-        boolean stands = route.inFlightCallCount < route.openConnections && now - route.lastCallEndedAt < settings.idleConnectionTimeout();
-        return route.fee + (stands || hasJoinableCall(route) ? 0 : settings.newConnectionPrice());
+        boolean hasIdleConnection = route.inFlightCallCount < route.openConnections
+                && now - route.lastCallEndedAt < settings.idleConnectionTimeout();
+        return route.fee + (hasIdleConnection || hasJoinableCall(route) ? 0 : settings.newConnectionPrice());
     }
 
     private void sendShot(PendingRecord record, Route route) {
@@ -426,10 +491,11 @@
             route.destinationState.inFlightCallCount++;
             degradedCallCount += route.failureDomain.isDegraded(now) ? 1 : 0;
         }
-        record.shots.add(new Shot(route.joinableCall)); // a copy may run before it leaves, so its window binds it
-        boolean once = record.grade.repeatSemantics() == ServiceGrade.RepeatSemantics.UNREPEATABLE;
+        // also for a first shot: a copy may run before it leaves, so the deduplication window applies to it too
+        record.shots.add(new Shot(route.joinableCall));
+        boolean unrepeatable = record.grade.repeatSemantics() == ServiceGrade.RepeatSemantics.UNREPEATABLE;
         actions.add(new Action.SendShot(record.id, route.endpoint, record.abandonAt,
-                once ? Long.MAX_VALUE : record.repeatDeadline(settings)));
+                unrepeatable ? Long.MAX_VALUE : record.repeatDeadline(settings)));
         route.failureDomain.recordJoined(route.joinableCall.recordCount++);
         route.joinableCall.inFlightRecordCount++;
         record.inFlightShotCount++;
--- a/src/main/java/terndyke/decision/OutcomeHistory.java
+++ b/src/main/java/terndyke/decision/OutcomeHistory.java
@@ -4,44 +4,48 @@
 
 import terndyke.api.Ending;
 
-/** The last fifty outcomes of one route, or of one hall's, each dropped after a minute. */
+/** The latest outcomes of one route, destination or hall, and the distribution fitted to them. */
 final class OutcomeHistory {
-    static final long RETENTION_MICROS = 60_000_000, MAX_OUTCOMES = 50;
+    static final long RETENTION_MICROS = 60_000_000, MAX_OUTCOMES = 50; // how long and how many outcomes are kept
 
     private final Deque<Outcome> outcomes = new ArrayDeque<>(0);
     private RoutePicker.Fit cachedFit;
-    int doneCount; // outcomes that are done, and their mean latency
+    int doneCount; // outcomes that are done, and their mean latency; as of the last fit
     double meanDoneLatency;
 
-    private record Outcome(long endedAt, long latency, boolean done) { } // took: -1 where it says nothing of latency
+    private record Outcome(long endedAt, long latency, boolean done) { } // latency: -1 if unknown
 
-    /** The time between calls whose wait counts: tries that were turned away are no use of a connection. */
+    /** The mean time between calls with a known latency; attempts that were turned away do not use a connection. */
     long meanCallInterval(long now) {
-        long served = outcomes.stream().filter(outcome -> outcome.latency >= 0).count();
-        return served < 2 ? RETENTION_MICROS : (now - outcomes.getFirst().endedAt) / (served - 1);
+        long callsWithLatency = outcomes.stream().filter(outcome -> outcome.latency >= 0).count();
+        return callsWithLatency < 2 ? RETENTION_MICROS : (now - outcomes.getFirst().endedAt) / (callsWithLatency - 1);
     }
 
-    /** Refusals and errors count against r alone: their haste says nothing of latency. */
-    void addOutcome(long now, Ending ending, long spent) {
-        boolean waited = ending == Ending.DONE || ending == Ending.TIMED_OUT || ending == Ending.RECALLED;
-        outcomes.addLast(new Outcome(now, waited ? spent : -1, ending == Ending.DONE));
+    /**
+     * Adds an outcome. Refusals and errors count against the reliability only: how fast they come says nothing about the
+     * latency of answers.
+     */
+    void addOutcome(long now, Ending ending, long elapsed) {
+        boolean latencyKnown = ending == Ending.DONE || ending == Ending.TIMED_OUT || ending == Ending.RECALLED;
+        outcomes.addLast(new Outcome(now, latencyKnown ? elapsed : -1, ending == Ending.DONE));
         cachedFit = null;
     }
 
-    /** The shifted exponential of the kept outcomes, or null where none answered or was waited for. */
+    /** The shifted exponential fitted to the kept outcomes, or null if none has a known latency. */
     RoutePicker.Fit fit(long now) {
         while (!outcomes.isEmpty() && (outcomes.size() > MAX_OUTCOMES || outcomes.getFirst().endedAt < now - RETENTION_MICROS)) {
             outcomes.removeFirst();
             cachedFit = null;
         }
         if (cachedFit == null && !outcomes.isEmpty()) {
-            LongSummaryStatistics timed = new LongSummaryStatistics(), done = new LongSummaryStatistics();
-            outcomes.stream().filter(outcome -> outcome.latency >= 0).forEach(outcome -> timed.accept(outcome.latency));
-            outcomes.stream().filter(Outcome::done).forEach(outcome -> done.accept(outcome.latency));
-            doneCount = (int) done.getCount();
-            meanDoneLatency = done.getAverage();
-            cachedFit = timed.getCount() == 0 ? null
-                    : new RoutePicker.Fit(timed.getMin(), timed.getAverage(), (double) doneCount / outcomes.size());
+            LongSummaryStatistics knownLatencies = new LongSummaryStatistics(), doneLatencies = new LongSummaryStatistics();
+            outcomes.stream().filter(outcome -> outcome.latency >= 0).forEach(outcome -> knownLatencies.accept(outcome.latency));
+            outcomes.stream().filter(Outcome::done).forEach(outcome -> doneLatencies.accept(outcome.latency));
+            doneCount = (int) doneLatencies.getCount();
+            meanDoneLatency = doneLatencies.getAverage();
+            cachedFit = knownLatencies.getCount() == 0 ? null
+                    : new RoutePicker.Fit(knownLatencies.getMin(), knownLatencies.getAverage(),
+                            (double) doneCount / outcomes.size());
         }
         return cachedFit;
     }
--- a/src/main/java/terndyke/decision/PendingRecord.java
+++ b/src/main/java/terndyke/decision/PendingRecord.java
@@ -5,7 +5,10 @@
 import terndyke.api.*;
 import terndyke.api.ServiceGrade.RepeatSemantics;
 
-/** A record that the node has taken, with its shots: what may still be done with it (rules 1, 2 and 5). */
+/**
+ * A record that the node has accepted and that has no final answer yet, with its shots. It knows which further shots and
+ * answers rules 1, 2 and 5 permit. Times are microseconds.
+ */
 final class PendingRecord {
     final long id, targetAt, abandonAt;
     final ServiceGrade grade;
@@ -17,58 +20,65 @@
     int inFlightShotCount;
     long notBefore;
 
-    PendingRecord(Event.RecordAccepted taken, long now, ServiceGrade grade, DestinationState addressee, double payoff,
-            KeyQueue line) {
-        this.id = taken.id();
+    PendingRecord(Event.RecordAccepted accepted, long now, ServiceGrade grade, DestinationState destinationState, double payoff,
+            KeyQueue keyQueue) {
+        this.id = accepted.id();
         this.grade = grade;
-        this.destinationState = addressee;
-        this.abandonAt = now + taken.remainingTime();
+        this.destinationState = destinationState;
+        this.abandonAt = now + accepted.remainingTime();
         this.targetAt = abandonAt - grade.abandonTime()
-                + Math.min(grade.abandonTime(), grade.targetTime() + (long) (grade.targetWorkMultiple() * taken.workHint()));
+                + Math.min(grade.abandonTime(), grade.targetTime() + (long) (grade.targetWorkMultiple() * accepted.workHint()));
         this.payoff = payoff;
-        this.keyQueue = line;
+        this.keyQueue = keyQueue;
     }
 
-    /** Rule 2: may another shot go by this route now, once the given one out, if any, is recalled? */
-    boolean permitsShot(Route route, long now, DeliverySettings terms, Shot recalled) {
-        return !ended && shots.size() < terms.maxShotsPerRecord() && now < repeatDeadline(terms)
+    /** Rule 2: true if another shot may be sent by this route now, provided that the given shot, if any, is recalled. */
+    boolean permitsShot(Route route, long now, DeliverySettings settings, Shot recalled) {
+        return !ended && shots.size() < settings.maxShotsPerRecord() && now < repeatDeadline(settings)
                 && shots.stream().noneMatch(shot -> shot.ending == null && shot != recalled
-                && (!terms.copiesAllowed() || shot.call.route == route)
+                && (!settings.copiesAllowed() || shot.call.route == route)
                 || shot.mayHaveRun() && shot.call.route.zone != route.zone
                 && grade.repeatSemantics() == RepeatSemantics.DEDUPLICATED && !grade.anyEndpointDeduplicates());
     }
 
-    /** Rule 2: until when another shot may leave, however late this turn is or its connection comes up. */
-    long repeatDeadline(DeliverySettings terms) {
-        long by = Long.MAX_VALUE;
+    /**
+     * Rule 2: until when another shot may leave, however late this turn runs or its connection comes up. It lies two turn
+     * intervals before the deduplication window ends.
+     */
+    long repeatDeadline(DeliverySettings settings) {
+        long deadline = Long.MAX_VALUE;
         for (Shot shot : grade.repeatSemantics() == RepeatSemantics.IDEMPOTENT ? List.<Shot>of() : shots) {
-            by = !shot.mayHaveRun() ? by : grade.repeatSemantics() == RepeatSemantics.UNREPEATABLE ? 0
-                    : Math.min(by, shot.call.startedAt + grade.deduplicationWindow() - 2 * terms.turnInterval());
+            deadline = !shot.mayHaveRun() ? deadline : grade.repeatSemantics() == RepeatSemantics.UNREPEATABLE ? 0
+                    : Math.min(deadline, shot.call.startedAt + grade.deduplicationWindow() - 2 * settings.turnInterval());
         }
-        return by;
+        return deadline;
     }
 
-    /** Rule 2: does a bounce keep its promise that trying again is harmless? */
+    /** Rule 2: true if the record may be bounced, which promises the client that another try is harmless. */
     boolean canBounce() {
         return grade.repeatSemantics() == RepeatSemantics.IDEMPOTENT || shots.stream().noneMatch(Shot::mayHaveRun)
                 || grade.repeatSemantics() == RepeatSemantics.DEDUPLICATED && grade.anyEndpointDeduplicates();
     }
 
-    boolean isUndeliverable(long now, DeliverySettings terms) {
-        return inFlightShotCount == 0 && (shots.size() >= terms.maxShotsPerRecord() || now >= repeatDeadline(terms));
+    /** True if no shot is out and no other may be sent. */
+    boolean isUndeliverable(long now, DeliverySettings settings) {
+        return inFlightShotCount == 0 && (shots.size() >= settings.maxShotsPerRecord() || now >= repeatDeadline(settings));
     }
 
-    double payoffAt(long time, DeliverySettings terms) {
-        double late = Math.max(0, time - targetAt), low = grade.latePayoffShare(), aim = grade.targetTime() + 1;
-        double left = terms.exponentialPayoffDecay() ? Math.max(low, Math.pow(0.5, late / aim))
-                : 1 - (1 - low) * late / Math.max(1, abandonAt - targetAt);
-        return time < abandonAt ? payoff * left : 0;
+    /** The payoff of a delivery at this time: full up to the target time, then falling until the abandon time. */
+    double payoffAt(long time, DeliverySettings settings) {
+        double lateness = Math.max(0, time - targetAt), latePayoffShare = grade.latePayoffShare(),
+                halfLife = grade.targetTime() + 1;
+        double remainingShare = settings.exponentialPayoffDecay() ? Math.max(latePayoffShare, Math.pow(0.5, lateness / halfLife))
+                : 1 - (1 - latePayoffShare) * lateness / Math.max(1, abandonAt - targetAt);
+        return time < abandonAt ? payoff * remainingShare : 0;
     }
 
-    /** Rule 5: the records of one key, in the order in which they were taken. */
+    /** Rule 5: the records of one key, in the order in which they were accepted. */
     static final class KeyQueue {
         final ArrayDeque<PendingRecord> records = new ArrayDeque<>();
-        int outstandingCount; // shots out, or an end untold, for records that are over
+        int outstandingCount; // of ended records: shots still out, and final answers not delivered yet
+        /** After a shot that may still run, no other record of the key is sent for a while. */
         private long quietUntil;
         private PendingRecord quietAfterRecord;
 
@@ -85,30 +95,31 @@
             outstandingCount += record.inFlightShotCount;
         }
 
-        void shotEnded(PendingRecord record, Ending ending, long now, long rest) {
+        void shotEnded(PendingRecord record, Ending ending, long now, long quietPeriod) {
             outstandingCount -= record.ended ? 1 : 0;
             if (ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.RECALLED) {
-                quietUntil = now + rest + 1;
+                quietUntil = now + quietPeriod + 1;
                 quietAfterRecord = record;
             }
         }
     }
 
-    /** One call on an endpoint: a slot, and one fate for all records that it carries. */
+    /** One call to an endpoint. It takes one slot, and all records that it carries share its outcome. */
     static final class Call {
         final Route route;
         final long startedAt;
         int recordCount, inFlightRecordCount; // records carried, and those without an outcome
-        final boolean neededNewConnection; // it needed a new connection
+        final boolean neededNewConnection;
         boolean outcomeKnown;
 
-        Call(Route route, long firedAt) {
+        Call(Route route, long startedAt) {
             this.route = route;
-            this.startedAt = firedAt;
+            this.startedAt = startedAt;
             this.neededNewConnection = route.inFlightCallCount >= route.openConnections;
         }
     }
 
+    /** One attempt to deliver a record; its ending is null while it is out. */
     static final class Shot {
         final Call call;
         Ending ending;
@@ -123,17 +134,20 @@
         }
     }
 
+    /** What is known about all endpoints of one kind. */
     static final class EndpointKind {
-        long closeIdleUntil, nextConnectionProbeAt; // until then connections in rare use close at once; when to ask why again
+        long closeIdleUntil, // until then rarely used connections are closed at once
+                nextConnectionProbeAt; // no probe sooner to find out why a connection failed
     }
 
+    /** A destination with its routes and the records that wait for it. */
     static final class DestinationState {
         final List<Route> routes = new ArrayList<>(4);
         final Set<PendingRecord> waitingRecords = new LinkedHashSet<>();
         final OutcomeHistory outcomes = new OutcomeHistory();
         EndpointKind kind;
-        int maxRecordsPerCall = 1, inFlightCallCount; // how many records one call may carry; calls out
-        PendingRecord nextRecord; // the record to shoot next in this turn, and how dear it is
+        int maxRecordsPerCall = 1, inFlightCallCount;
+        PendingRecord nextRecord; // the record to send next in this turn, and its urgency
         double nextUrgency;
         boolean degraded;
     }
