--- a/src/main/java/terndyke/decision/Dispatcher.java
+++ b/src/main/java/terndyke/decision/Dispatcher.java
@@ -276,8 +276,8 @@
 
     /**
      * A call that got no connection does not show whether the endpoint is down or holds as many connections as it
-     * accepts. A probe does, as it needs none of them: where it succeeds, rarely used connections to endpoints of this
-     * kind are closed.
+     * accepts. A probe does, as it needs none of them: if it succeeds, or a call does soon after, rarely used connections
+     * to endpoints of this kind are closed.
      */
     private void checkConnectionLimit(Route route, Ending ending) {
         EndpointKind kind = route.destinationState.kind;
--- a/src/test/java/terndyke/decision/RoutePickerTest.java
+++ b/src/test/java/terndyke/decision/RoutePickerTest.java
@@ -11,24 +11,24 @@
 
     @Test
     void oneRouteHasItsOwnMeanAndTail() {
-        RoutePicker.Latency answer = RoutePicker.latency(new Fit(100_000, 300_000, 1));
-        assertEquals(300_000, answer.mean(), 1e-6);
-        assertEquals(100_000 + 200_000 * LN20, answer.tail(), 1e-6);
+        RoutePicker.Latency latency = RoutePicker.latency(new Fit(100_000, 300_000, 1));
+        assertEquals(300_000, latency.mean(), 1e-6);
+        assertEquals(100_000 + 200_000 * LN20, latency.tail(), 1e-6);
     }
 
     @Test
     void equalMinimaAddTheirRates() {
-        RoutePicker.Latency answer = RoutePicker.latency(new Fit(100_000, 300_000, 1), new Fit(100_000, 300_000, 1));
-        assertEquals(200_000, answer.mean(), 1e-6);
-        assertEquals(100_000 + 100_000 * LN20, answer.tail(), 1e-6);
+        RoutePicker.Latency latency = RoutePicker.latency(new Fit(100_000, 300_000, 1), new Fit(100_000, 300_000, 1));
+        assertEquals(200_000, latency.mean(), 1e-6);
+        assertEquals(100_000 + 100_000 * LN20, latency.tail(), 1e-6);
     }
 
     @Test
     void aLaterMinimumJoinsWhereItStarts() {
-        RoutePicker.Latency answer = RoutePicker.latency(new Fit(300_000, 400_000, 1), new Fit(100_000, 300_000, 1));
-        double left = Math.exp(-1);
-        assertEquals(100_000 + 200_000 * (1 - left) + left / (1 / 200_000.0 + 1 / 100_000.0), answer.mean(), 1e-6);
-        assertEquals(300_000 + Math.log(left * 20) / (1 / 200_000.0 + 1 / 100_000.0), answer.tail(), 1e-6);
+        RoutePicker.Latency latency = RoutePicker.latency(new Fit(300_000, 400_000, 1), new Fit(100_000, 300_000, 1));
+        double survival = Math.exp(-1);
+        assertEquals(100_000 + 200_000 * (1 - survival) + survival / (1 / 200_000.0 + 1 / 100_000.0), latency.mean(), 1e-6);
+        assertEquals(300_000 + Math.log(survival * 20) / (1 / 200_000.0 + 1 / 100_000.0), latency.tail(), 1e-6);
     }
 
     @Test
@@ -49,13 +49,13 @@
     }
 
     @Test
-    void theFasterRouteIsPassedOverBelowTheLeastReliability() {
+    void theFasterRouteIsNotPickedBelowTheLeastReliability() {
         Fit[] fits = {new Fit(100_000, 300_000, 0.95), new Fit(50_000, 150_000, 0.5)};
         assertEquals(0b01, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
 
     @Test
-    void theMostReliableSetIsTakenWhereNoneIsReliableEnough() {
+    void theMostReliableSetIsPickedIfNoneIsReliableEnough() {
         Fit[] fits = {new Fit(50_000, 150_000, 0.3), new Fit(100_000, 300_000, 0.6)};
         assertEquals(0b10, RoutePicker.pickSubset(fits, new double[fits.length], 1e6, 1e7, 0.9, 1));
     }
