--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -6,7 +6,7 @@
 import terndyke.node.discovery.EndpointRegistry;
 import terndyke.node.http.ClientRequest;
 
-/** Second stage: what cannot be taken on is answered here, before anything is booked or decided. */
+/** Second stage: answers requests that are not admitted, before anything is journalled or decided. */
 public final class AdmissionStage {
     private final Limits limits;
     private final Counters counters;
@@ -21,16 +21,17 @@
         this.recordStore = book;
     }
 
-    /** From now on nothing new is taken on. */
+    /** From now on no new record is admitted. */
     void beginShutdown() {
         shuttingDown = true;
     }
 
     /**
-     * True where the record goes on to the next stage; otherwise it has had its answer. Nobody is told that a record is
-     * taken on unless it is that very record. Guards against clients that hand in another one's open id with a content
-     * of their own: where theirs comes first, the other one's record would be taken for theirs, be nowhere, and be
-     * overtaken by the later ones of its key (rules 1 and 5). It may turn away a client that alters what it repeats.
+     * Returns true if the request goes on to the next stage; otherwise it has been answered here. A repeat is answered as
+     * accepted only if it is for the same record. This guards against clients that submit content of their own under the
+     * open id of another client: if theirs arrives first, the other client's record would be taken for a repeat of it, be
+     * lost, and be overtaken by later records of its key (rules 1 and 5). A client that alters a record between repeats
+     * may be refused for it.
      */
     boolean admit(ClientRequest handover, long now) {
         TrackedRecord known = recordStore.findById(handover.id());
@@ -38,7 +39,7 @@
             counters.add(Counter.REPEATS);
             if (known.isSameRecord(handover)) {
                 answerDuplicate(known, handover.responder());
-            } else { // another record under an id that is taken: it may come again under its own
+            } else { // another record under an id in use: its client may submit it again under an id of its own
                 handover.responder().refused(0);
             }
         } else if (!endpointRegistry.hasDestination(handover.destination())) {
@@ -56,7 +57,7 @@
         return false;
     }
 
-    /** Why a message that could be taken on is not, or null. */
+    /** Why a valid request is refused, or null if it is admitted. */
     private Counter refusalReason(ClientRequest handover, long now) {
         if (shuttingDown) {
             return Counter.REFUSED_LEAVING;
@@ -67,7 +68,7 @@
         return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length) ? Counter.REFUSED_NO_ROOM : null;
     }
 
-    /** A record that is held or was delivered is not taken on twice; one that was handed back may come again. */
+    /** Answers a repeat of a known record: held or delivered records are not accepted twice, bounced ones may be retried. */
     private static void answerDuplicate(TrackedRecord known, ClientRequest.Responder answer) {
         if (known.outcome == null) {
             answer.taken();
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -29,7 +29,11 @@
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.JournalEntry;
 
-/** The decision thread: owns the dispatcher and all records, and passes each through the stages in order. */
+/**
+ * The event loop of the decision thread. It owns the dispatcher (the decision module) and all records, and passes each
+ * record through the stages in order. One iteration is called a turn: it handles the queued events and due timers, runs
+ * the dispatcher on what they reported, and performs the actions that the dispatcher asks for.
+ */
 public final class DecisionLoop implements Runnable {
     private final Limits limits;
     private final Counters counters;
@@ -38,9 +42,9 @@
     private final LinkedBlockingQueue<LoopEvent> eventQueue;
     private final AtomicInteger queuedRecordCount = new AtomicInteger();
     private final TimerQueue timers = new TimerQueue();
-    private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // taken in this turn
-    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // of which the module is still to hear
-    private final List<ClientRequest> deferredRequests = new ArrayList<>(); // handed in before the first turn of the module
+    private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // admitted in this turn, not yet in the journal
+    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // not yet passed to the decision module
+    private final List<ClientRequest> deferredRequests = new ArrayList<>(); // received before discovery was resolved
     private final IntakeStage intakeStage;
     private final AdmissionStage admissionStage;
     private final DecisionStage decisionStage;
@@ -55,11 +59,11 @@
     private final int gradeCount;
     private long nextSweepAt;
     private long shutdownDeadline = Long.MAX_VALUE;
-    private final CountDownLatch discoveryResolved = new CountDownLatch(1); // what discovery has to tell is known, or it is silent
-    private final CountDownLatch firstTurnDone = new CountDownLatch(1); // and the module has had its first turn with it
-    private volatile boolean finished; // no more turns
-    private volatile boolean stopped; // not even where a turn takes too long
-    private volatile boolean queueClosed; // nothing more is taken from the inbox
+    private final CountDownLatch discoveryResolved = new CountDownLatch(1); // the first call to discovery has completed or failed
+    private final CountDownLatch firstTurnDone = new CountDownLatch(1); // the decision module has run once after that
+    private volatile boolean finished; // set by the decision thread: no more turns
+    private volatile boolean stopped; // set by stop(), even while a turn takes too long
+    private volatile boolean queueClosed; // requests added from now on may not be polled any more
 
     public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
             NodeLog log) {
@@ -93,8 +97,9 @@
     }
 
     /**
-     * Hands a record over from the I/O thread; false where too many wait already, or the desk takes no more. One that
-     * comes while the desk ends is either seen by its last look or taken back here, so that it has one answer.
+     * Queues a client's request; called on the I/O thread. Returns false if the queue is full or the loop has ended. A
+     * request that arrives while the loop is ending is either handled by its final drain of the queue or removed here, so
+     * that it is answered exactly once.
      */
     public boolean offerRequest(ClientRequest handover) {
         if (finished || stopped || queuedRecordCount.get() >= limits.requestQueueCapacity()) {
@@ -106,31 +111,35 @@
         return !queueClosed || !eventQueue.remove(word);
     }
 
-    /** No more is taken in, though the desk's last turn may take long. */
+    /** Accepts no more requests and runs no further turn, even if the current turn takes long. */
     public void stop() {
         stopped = true;
     }
 
-    /** Waits until what discovery has to tell is known, or it is silent, and the last life's records have been decided on. */
+    /**
+     * Waits until the first call to discovery has completed or failed and the decision module has handled the records of
+     * the previous run, at most for the given time.
+     */
     public void awaitFirstTurn(long micros) throws InterruptedException {
         firstTurnDone.await(micros, TimeUnit.MICROSECONDS);
     }
 
-    /** Tells the decision thread something; calls and probes that are out bound how much of this can wait. */
+    /** Queues an event from any thread. The number of calls and probes in flight limits how many events can be queued. */
     public void post(LoopEvent word) {
         eventQueue.add(word);
     }
 
     /**
-     * The list as it was last held, and what the last life owed, before the thread starts. The list may be old, and what
-     * discovery has counts as told: the first turn of the module waits until it has been asked.
+     * Restores the last known list and the unfinished records of the previous run; called before the thread starts. The
+     * list may be out of date, and whatever discovery publishes counts as known to the node: the first turn of the
+     * decision module waits until discovery has been asked.
      */
     public void restore(Event.ListReceived known, Collection<TrackedRecord> records) {
         decisionStage.addEvent(known);
         for (TrackedRecord owed : List.copyOf(records)) {
             counters.add(Counter.RESTORED, owed.noticeSettled ? 0 : 1);
             if (owed.entry.grade() >= gradeCount) {
-                log.warn("journal: a record of an unknown service grade, ended without its delivery");
+                log.warn("journal: record has an unknown service grade, terminated without delivery");
                 notificationStage.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
                 continue;
             }
@@ -142,7 +151,10 @@
         notificationStage.sendPendingNotices(now());
     }
 
-    /** The module hears of records by the time that is left, so it hears of them only in the turn that it acts in. */
+    /**
+     * Passes restored and deferred records to the decision module once the first call to discovery has completed or
+     * failed. Not earlier, since the events state the time remaining at the moment at which the module acts on them.
+     */
     private void beginOnceDiscoveryResolved(long now) {
         if (isDiscoveryResolved() || !watch.hasCompletedFirstCall()) {
             return;
@@ -162,7 +174,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (Exception | OutOfMemoryError e) {
-                log.warn("decision thread", e);
+                log.warn("decision thread: turn failed, its new records are refused", e);
                 refuseNewRecords();
             }
         }
@@ -170,8 +182,8 @@
     }
 
     /**
-     * Whoever was read in the last moments is refused too, before the connections close: nobody is left unanswered. What
-     * has ended by now is booked, so that the next life does not send it again.
+     * Refuses the requests that were read in the last moments before the connections close, so that every client gets
+     * an answer. Shots that have ended by now are journalled, so that the next run does not repeat them.
      */
     private void refuseRemaining() {
         refuseNewRecords();
@@ -237,7 +249,8 @@
         if (slow != null) {
             log.warn(slow);
         }
-        // not at once where nothing is held: clients that do not know yet still come, and are owed an answer
+        // even with no record held the loop goes on for a minimum time: clients that do not know of the shutdown yet still
+        // send requests, which must be answered
         finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0 && !notificationStage.hasPendingNotices()
                 && now >= shutdownDeadline - limits.shutdownGracePeriodMicros() + limits.minShutdownMicros();
     }
@@ -284,8 +297,9 @@
     }
 
     /**
-     * An id that was taken in this very turn is as owed as one that is booked: the second record is refused. Where it is
-     * another record nobody knows whose id it is, and since nothing is owed yet both are refused.
+     * Admits a request as a new record, or answers it. If a record with the same id was admitted earlier in this turn, the
+     * second request is refused, as it would be if the first record were in the journal. If the two requests differ, it is
+     * unknown which client owns the id; since neither has been accepted yet, both are refused.
      */
     private void handleClientRequest(ClientRequest handover, long now) {
         TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst().orElse(null);
@@ -311,8 +325,9 @@
     }
 
     /**
-     * A client that left before its answer may hand the record in again under another id. One that only repeated
-     * another's id takes nothing back: the record is the one that this client handed in, or stays.
+     * Withdraws the record of a client that disconnected before its answer, as that client may submit it again under
+     * another id. Only the record that this client itself submitted is withdrawn: a client that repeated another one's id
+     * leaves that record as it is.
      */
     private void handleClientDisconnect(ClientRequest handover, long now) {
         TrackedRecord owed = recordStore.findById(handover.id());
@@ -324,7 +339,7 @@
         }
         if (owed != null && owed.isOpen() && owed.entry.acceptedAt() == handover.receivedAt()) {
             counters.add(Counter.WITHDRAWN);
-            log.infoAboutRecord("message " + handover.id() + " is over: its client left before its answer");
+            log.infoAboutRecord("message " + handover.id() + " withdrawn: client disconnected before its answer");
             recordStore.endRecord(owed, JournalEntry.RecordOutcome.WITHDRAWN, 0);
             decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
         }
@@ -334,7 +349,7 @@
         return discoveryResolved.getCount() == 0;
     }
 
-    /** One turn of the module, and all that it asks for. */
+    /** Runs the decision module until it has no pending events, and performs the actions that it asks for. */
     private void performActions(long now) {
         while (decisionStage.hasPendingEvents()) {
             List<Action> actions = decisionStage.runTurn(now);
@@ -348,7 +363,7 @@
         notificationStage.sendPendingNotices(now);
     }
 
-    /** The records of this turn: bounced at once, or booked and then answered. */
+    /** Answers the records admitted in this turn: refused if the module ended them, otherwise journalled and then accepted. */
     private void answerNewRecords(List<Action> actions) {
         for (Action action : newRecords.isEmpty() ? List.<Action>of() : actions) {
             if (action instanceof Action.Bounce bounce && newRecords.containsKey(bounce.id())) {
@@ -369,7 +384,7 @@
         recordStore.clearReservations();
     }
 
-    /** What could not be decided has not been booked, so nothing is owed. */
+    /** Refuses the new records of a turn that failed. They are not in the journal, so the node owes them nothing. */
     private void refuseNewRecords() {
         for (TrackedRecord owed : newRecords.values()) {
             notificationStage.answerRefused(owed, 0);
--- a/src/main/java/terndyke/node/stage/DecisionStage.java
+++ b/src/main/java/terndyke/node/stage/DecisionStage.java
@@ -7,7 +7,7 @@
 import terndyke.api.Event;
 import terndyke.decision.Dispatcher;
 
-/** Third stage: tells the decision module what happened and hears what is to be done. */
+/** Third stage: collects events for the decision module (the dispatcher) and returns the actions that it asks for. */
 public final class DecisionStage {
     private final Dispatcher dispatcher;
     private List<Event> pendingEvents = new ArrayList<>();
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -3,11 +3,11 @@
 import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.JournalEntry;
 
-/** First stage: makes a record of what a client hands in, with its number and its end by the clock. */
+/** First stage: turns a client's request into a record with a number and an abandon time. */
 public final class IntakeStage {
     private long lastRecordNumber;
 
-    /** Numbers go on from the last one that the journal holds. */
+    /** Numbering continues after the last number in the journal. */
     public IntakeStage(long lastNumber) {
         this.lastRecordNumber = lastNumber;
     }
--- a/src/main/java/terndyke/node/stage/LoopEvent.java
+++ b/src/main/java/terndyke/node/stage/LoopEvent.java
@@ -7,33 +7,34 @@
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.ClientRequest;
 
-/** What the I/O thread tells the decision thread. Times are on the node's clock, in whole microseconds. */
+/** An event for the decision thread, posted by another thread. Times are on the node's clock, in whole microseconds. */
 public sealed interface LoopEvent {
 
-    /** A client hands a record in. */
+    /** A client submitted a record. */
     record RequestReceived(ClientRequest clientRequest) implements LoopEvent { }
 
-    /** A client left before it had its answer. */
+    /** A client disconnected before it was answered. */
     record ClientDisconnected(ClientRequest clientRequest) implements LoopEvent { }
 
-    /** A call for a record came to an end. */
-    record ShotCompleted(TrackedRecord trackedRecord, TrackedRecord.Shot shot, long endpointNumber, Call.Result result, long completedAt) implements LoopEvent { }
+    /** The call of a shot completed. */
+    record ShotCompleted(TrackedRecord trackedRecord, TrackedRecord.Shot shot, long endpointNumber, Call.Result result,
+            long completedAt) implements LoopEvent { }
 
-    /** A probe came to an end. */
+    /** A probe completed. */
     record ProbeCompleted(SendStage.PendingProbe pendingProbe, Call.Result result, long completedAt) implements LoopEvent { }
 
-    /** A connection is free for another call. */
+    /** A connection is available for another call. */
     record ConnectionReleased(ConnectionPool.PooledConnection connection) implements LoopEvent { }
 
-    /** A watch was answered, or broke. */
+    /** A call to discovery for the list was answered or failed. */
     record WatchCompleted(long callNumber, Call.Result result) implements LoopEvent { }
 
-    /** The platform answered notices, or did not. */
+    /** A call with notices to the platform was answered or failed. */
     record NoticeCallCompleted(long callNumber, List<TrackedRecord> records, Call.Result result) implements LoopEvent { }
 
-    /** Discovery, and with it the platform, has another address. */
+    /** The address of discovery, and with it of the platform, changed. */
     record DiscoveryAddressChanged(InetSocketAddress address) implements LoopEvent { }
 
-    /** The node is to go. */
+    /** The node is asked to shut down. */
     record ShutdownRequested() implements LoopEvent { }
 }
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -19,7 +19,7 @@
 import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.JournalEntry;
 
-/** Fifth stage: answers to clients, and notices to the platform, resent until they are answered. */
+/** Fifth stage: answers clients, and sends notices to the platform, repeating them until they are answered. */
 public final class NotificationStage {
     private final Limits limits;
     private final Counters counters;
@@ -33,8 +33,8 @@
     private final Set<TrackedRecord> pendingNotices = new LinkedHashSet<>();
     private long callNumber;
     private boolean callInFlight;
-    private int consecutiveFailures; // calls with notices, in a row
-    private int maxBatchSize = Integer.MAX_VALUE; // notices in one call at most
+    private int consecutiveFailures; // of calls with notices
+    private int maxBatchSize = Integer.MAX_VALUE; // notices per call
     private ConnectionPool.PooledConnection connection;
     private long retryAt;
 
@@ -51,14 +51,14 @@
         this.decisionLoop = desk;
     }
 
-    /** Tells the client that its record is taken on; it has been booked. */
+    /** Tells the client that its record is accepted; it is in the journal. */
     void answerTaken(TrackedRecord owed) {
         counters.add(Counter.TAKEN);
         trace("taken", owed);
         removeResponder(owed).taken();
     }
 
-    /** Tells the client that its record is not taken on. */
+    /** Tells the client that its record is refused, and after which time in microseconds it may try again (0: not stated). */
     void answerRefused(TrackedRecord owed, long after) {
         counters.add(Counter.BOUNCED_AT_ONCE);
         trace("refused", owed);
@@ -66,7 +66,7 @@
         decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
     }
 
-    /** Tells the client that its record was given up in the turn of its taking. */
+    /** Tells the client that its record was terminated in the turn in which it was admitted. */
     void answerFailed(TrackedRecord owed) {
         trace("failed", owed);
         removeResponder(owed).failed(500);
@@ -79,7 +79,7 @@
         return answer;
     }
 
-    /** Books the end of a record that was taken on, and owes the platform its notice. */
+    /** Journals the end of an accepted record and queues the notice to the platform. */
     void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
         if (owed.outcome == null) {
             recordStore.endRecord(owed, end, wait);
@@ -89,13 +89,13 @@
             trace(end == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", owed);
             if (end != JournalEntry.RecordOutcome.BOUNCED || !owed.shots.isEmpty()) {
                 log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
-                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its time, attempts: " + describeShots(owed));
+                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its abandon time, attempts: " + describeShots(owed));
             }
         }
     }
 
     private static String describeShots(TrackedRecord owed) {
-        return owed.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "out" : shot.ending))
+        return owed.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "in flight" : shot.ending))
                 .collect(Collectors.joining(", "));
     }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Owes again what the last life had not told, or lets the module know that it was told. */
+    /** For an ended record of the previous run: queues its notice again, or reports to the decision module that it was answered. */
     void restore(TrackedRecord owed) {
         if (owed.noticeSettled) {
             decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
@@ -122,9 +122,10 @@
     }
 
     /**
-     * Sends what is owed, as many notices in one call as a body holds and one call at a time. Guards against a node that
-     * is back with hundreds of ends to tell and little CPU: each call takes it a tenth of a second and more, and at 64
-     * notices a call the last ones came too late. Where one of many cannot be read, halves are sent until it stands alone.
+     * Sends pending notices, one call at a time with as many notices as fit into a body. After a restart a node may have
+     * hundreds of notices to send and little CPU: each call then takes 100 ms or more, and with 64 notices per call the
+     * last ones were late. If the platform rejects a batch as malformed, the batch size is halved until the faulty notice
+     * is alone in its call.
      */
     void sendPendingNotices(long now) {
         if (callInFlight || pendingNotices.isEmpty() || now < retryAt) {
@@ -140,31 +141,32 @@
         callInFlight = connection != null;
         counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
         if (!callInFlight) {
-            handleCallFailure("no socket", now, retryDelay());
+            handleCallFailure("no connection available", now, retryDelay());
             return;
         }
         timers.schedule(now + callTimeout(), () -> {
             if (callInFlight && callNumber == sent) {
                 connectionPool.cancelCall(connection);
-                handleCallFailure("silence", decisionLoop.now(), 0);
+                handleCallFailure("no answer in time", decisionLoop.now(), 0);
             }
         });
     }
 
     /**
-     * How long a call may take. A message is given up shortly before its time, so two calls are tried within what a client is
-     * owed behind it; later ones get longer, for a platform that is slow and a node that has many ends to tell.
+     * Timeout of a call with notices. A record is terminated shortly before its abandon time, so two calls must fit into
+     * the time within which its notice is due after that. Later calls are given more time, for a slow platform or a node
+     * with many notices to send.
      */
     private long callTimeout() {
         return Math.min(limits.responseTimeoutMicros(), limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
     }
 
-    /** How long to wait after a call that failed at once, which silence has already cost. */
+    /** Delay before the next call after one that failed at once; after a timeout no further delay is needed. */
     private long retryDelay() {
         return Math.min(limits.retryDelayMicros(), limits.noticeRetryDelayMicros() << Math.min(10, consecutiveFailures));
     }
 
-    /** The first ones whose lines fit into so many bytes, one at least and so many at most. */
+    /** Takes the first records whose notices fit into the given bytes: at least one, at most the given number. */
     static List<TrackedRecord> nextBatch(Collection<TrackedRecord> owing, int most, int bytes, StringBuilder lines) {
         List<TrackedRecord> batch = new ArrayList<>();
         for (TrackedRecord owed : owing) {
@@ -178,7 +180,7 @@
         return batch;
     }
 
-    /** From now on notices go to another address; those not yet answered go there again. */
+    /** Sends notices to another address from now on; those not yet answered are sent again to it. */
     void changePlatformAddress(InetSocketAddress address) {
         if (!address.equals(platform.address())) {
             if (callInFlight) {
@@ -193,11 +195,14 @@
         }
     }
 
-    /** The next call goes on a connection of its own: a kept one that lost a call would lose the next one too. */
+    /**
+     * Schedules the next call and closes the idle connections, so that it opens a new one: a kept connection that lost a
+     * call would lose the next one too.
+     */
     private void handleCallFailure(String why, long now, long rest) {
         counters.add(Counter.NOTICES_UNANSWERED);
         if (consecutiveFailures++ == 0) {
-            log.warn("notices unanswered: " + pendingNotices.size() + " owed, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
+            log.warn("notices unanswered: " + pendingNotices.size() + " pending, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
         }
         connectionPool.closeIdle(platform);
         callInFlight = false;
@@ -224,7 +229,7 @@
         return line.append('}').toString();
     }
 
-    /** Takes in the platform's answer. */
+    /** Handles the platform's answer to a call with notices. */
     void handleNoticeResult(LoopEvent.NoticeCallCompleted noticed, long now) {
         if (!callInFlight || noticed.callNumber() != callNumber) {
             return;
@@ -236,10 +241,10 @@
             maxBatchSize = Integer.MAX_VALUE;
             if (consecutiveFailures > 0) {
                 consecutiveFailures = 0;
-                log.info("notices are answered again, " + pendingNotices.size() + " owed");
+                log.info("notices answered again, " + pendingNotices.size() + " pending");
             }
         } else if (status == 400 && noticed.records().size() == 1) {
-            log.warn("notice cannot be read by the platform: " + formatNotice(noticed.records().get(0)));
+            log.warn("notice rejected by the platform with status 400, dropped: " + formatNotice(noticed.records().get(0)));
             noticed.records().forEach(this::settleNotice);
         } else {
             maxBatchSize = status == 400 ? Math.max(1, noticed.records().size() / 2) : maxBatchSize;
@@ -253,7 +258,7 @@
         counters.recordMaximum(Counter.LONGEST_NOTICE, now - owed.endedAt);
         if (now - owed.endedAt > limits.noticeDeadlineMicros()) {
             counters.add(Counter.NOTICES_LATE);
-            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000 + " ms after its end");
+            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000 + " ms after the message ended");
         }
         pendingNotices.remove(owed);
         recordStore.settleNotice(owed);
--- a/src/main/java/terndyke/node/stage/RecordStore.java
+++ b/src/main/java/terndyke/node/stage/RecordStore.java
@@ -18,10 +18,13 @@
 import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 
-/** Last stage, and first for what must be on disk before it happens: what the node owes, here and in the journal. */
+/**
+ * Last stage: the records that the node holds, in memory and in the journal. What must be on disk before it happens is
+ * written here first.
+ */
 public final class RecordStore {
-    private static final int ENTRY_OVERHEAD_BYTES = 700; // bytes of a record's other entries, at most
-    private static final int ENDED_RECORD_BYTES = 160; // bytes of a record that is over
+    private static final int ENTRY_OVERHEAD_BYTES = 700; // upper bound for a record's entries without its body
+    private static final int ENDED_RECORD_BYTES = 160; // journal bytes of a record that has ended
 
     private final Journal journal;
     private final Limits limits;
@@ -29,10 +32,10 @@
     private final NodeLog log;
     private final Map<Long, TrackedRecord> recordsByNumber = new LinkedHashMap<>();
     private final Map<String, TrackedRecord> recordsById = new HashMap<>();
-    private final Deque<TrackedRecord> endedRecords = new ArrayDeque<>(); // in the order of their ends
+    private final Deque<TrackedRecord> endedRecords = new ArrayDeque<>(); // oldest end first
     private int heldCount;
-    private long liveBytes; // bytes that a compaction would keep, about
-    private long reservedBytes; // bytes of what was admitted and is not booked yet
+    private long liveBytes; // approximate number of bytes that a compaction would keep
+    private long reservedBytes; // for records that are admitted but not yet in the journal
     private int admittedCount;
     private boolean journalFailing;
 
@@ -43,14 +46,14 @@
         this.log = log;
     }
 
-    /** Fills the book from the entries of the last life; returns the records in the order of their taking. */
+    /** Rebuilds the records from the journal entries of previous runs; returns them in the order of their acceptance. */
     public Collection<TrackedRecord> restore(List<JournalEntry> entries) {
         for (JournalEntry entry : entries) {
             TrackedRecord owed = recordsByNumber.get(entry.number());
             if (entry instanceof JournalEntry.RecordAccepted taken && owed == null) {
                 index(new TrackedRecord(taken, false, false, null));
             } else if (owed == null) {
-                log.warn("journal: " + entry.getClass().getSimpleName() + " of a record that it does not hold");
+                log.warn("journal: " + entry.getClass().getSimpleName() + " refers to a record that is not in the journal");
             } else if (entry instanceof JournalEntry.ShotFired fired) {
                 owed.shots.add(new TrackedRecord.Shot(fired.shot(), -1, fired.endpointUid(), fired.zone(), fired.firedAt()));
             } else if (entry instanceof JournalEntry.ShotEnded shotOver) {
@@ -77,12 +80,12 @@
         return recordsByNumber.get(number);
     }
 
-    /** Records that are held, with those that were admitted in this turn. */
+    /** Number of records held, including those admitted in this turn. */
     int heldOrAdmittedCount() {
         return heldCount + admittedCount;
     }
 
-    /** Is there room for one more record, with all that may have to be booked for it? Then it is set aside. */
+    /** Reserves space for one more record and all journal entries that it may need; false if there is not enough. */
     boolean tryReserve(int body) {
         long then = liveBytes + reservedBytes + body + ENTRY_OVERHEAD_BYTES;
         boolean room = !journalFailing && then < limits.maxJournalBytes() * 2 / 5 && then < limits.maxHeldBytes();
@@ -99,13 +102,13 @@
         return room;
     }
 
-    /** All that was admitted in this turn has been booked or refused. */
+    /** Releases the reservations: every record admitted in this turn has been journalled or refused. */
     void clearReservations() {
         reservedBytes = 0;
         admittedCount = 0;
     }
 
-    /** Books a record that is taken on; false where that failed and nothing is owed. */
+    /** Journals an accepted record; false if the entry could not be written, so that the record must be refused. */
     boolean tryAdd(TrackedRecord owed) {
         if (!appendEntry(owed.entry, limits.journalReserveBytes())) {
             return false;
@@ -121,7 +124,7 @@
         liveBytes += owed.entry.body().length + ENTRY_OVERHEAD_BYTES;
     }
 
-    /** Books a shot before its first byte leaves. */
+    /** Journals a shot before its first byte is sent; false if the entry could not be written. */
     boolean journalShot(TrackedRecord owed, TrackedRecord.Shot shot) {
         return appendEntry(new JournalEntry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone, shot.firedAt), 0);
     }
@@ -154,7 +157,10 @@
         appendEntry(new JournalEntry.NoticeAnswered(owed.entry.number()), 0);
     }
 
-    /** Forgets what is over, told and past its time, or was over longest where there are too many. */
+    /**
+     * Removes ended records whose notice is settled and which have no call in flight, once the given retention time has
+     * passed since their abandon time, or earlier, oldest end first, while there are too many.
+     */
     void evictEnded(long now, long rest) {
         for (int i = endedRecords.size(); i > 0; i--) {
             TrackedRecord owed = endedRecords.pollFirst();
@@ -169,7 +175,7 @@
         }
     }
 
-    /** Compacts where the next entries might not leave room for that any more. */
+    /** Compacts the journal before the entries to come could use up the space that a compaction needs. */
     void compactIfNeeded() {
         if (journalFailing || journal.remainingBytes(liveBytes) < limits.journalReserveBytes()) {
             compact();
@@ -221,7 +227,7 @@
             return true;
         } catch (IOException e) {
             if (!journalFailing) {
-                log.warn("journal: no entry could be written", e);
+                log.warn("journal: write failed, no new records until a compaction succeeds", e);
             }
             journalFailing = true;
             return false;
--- a/src/main/java/terndyke/node/stage/SendStage.java
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -16,7 +16,7 @@
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.journal.JournalEntry;
 
-/** Fourth stage: shots and probes as calls, and what comes back as events. */
+/** Fourth stage: sends shots and probes as calls, and reports their results to the decision module as events. */
 public final class SendStage {
     private static final byte[] EMPTY_BODY = new byte[0];
     private static final float[] NO_REPORT = new float[0];
@@ -47,7 +47,7 @@
         this.decisionLoop = desk;
     }
 
-    /** Books a shot and starts its call. What cannot leave comes back as not sent. */
+    /** Journals a shot and starts its call. A shot that cannot be sent is reported as NOT_SENT. */
     void sendShot(TrackedRecord owed, Action.SendShot shoot, long now) {
         long endpoint = shoot.endpoint();
         long notPast = shoot.deadline();
@@ -65,7 +65,7 @@
             complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, false, NO_REPORT);
             return;
         }
-        if (!recordStore.journalShot(owed, shot)) { // after a while, lest a full disk uses up all shots of a record at once
+        if (!recordStore.journalShot(owed, shot)) { // reported after a delay, lest a full disk uses up all shots of a record at once
             timers.schedule(now + limits.journalFailureDelayMicros(),
                     () -> complete(owed, shot, endpoint, Ending.NOT_SENT, decisionLoop.now(), 0, true, NO_REPORT));
             return;
@@ -95,7 +95,7 @@
         return new Call("POST", "/events", headers.toArray(String[]::new), owed.entry.body(), startBy);
     }
 
-    /** Gives up one shot at the module's word. */
+    /** Recalls one shot at the request of the decision module. */
     void recallShot(TrackedRecord owed, int number) {
         if (number < owed.shots.size()) {
             TrackedRecord.Shot shot = owed.shots.get(number);
@@ -105,7 +105,7 @@
 
     private void cancelShot(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending) {
         if (shot.ending == null && shot.connection != null) {
-            // of a record that is over, a connection that was not up in time says nothing of the endpoint
+            // once the record has ended, a connection that was not established in time says nothing about the endpoint
             boolean notConnected = connectionPool.cancelCall(shot.connection) && owed.isOpen();
             Ending how = notConnected ? Ending.NOT_CONNECTED : ending;
             if (owed.isOpen()) {
@@ -115,17 +115,17 @@
         }
     }
 
-    /** Takes in how a call ended. */
+    /** Handles the result of a shot's call. */
     void handleResult(LoopEvent.ShotCompleted over) {
         if (over.shot().ending == null) {
             Call.Result result = over.result();
             Ending ending = toEnding(result);
             if (ending == Ending.ERROR || result.ending() != null || result.defect() != ResponseDefect.NONE) {
                 log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt()) + ", status " + result.status()
-                        + ", answer " + result.defect());
+                        + ", response defect " + result.defect());
             }
             if (result.status() == 410) {
-                log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " is over: status 410");
+                log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " withdrawn: status 410 from the endpoint");
                 recordStore.endRecord(over.trackedRecord(), JournalEntry.RecordOutcome.WITHDRAWN, 0);
             }
             complete(over.trackedRecord(), over.shot(), over.endpointNumber(), ending, over.completedAt(),
@@ -160,7 +160,7 @@
                 + (at - shot.firedAt) / 1000 + " ms";
     }
 
-    /** What an answer means; what cannot be read is an error. */
+    /** Maps the result of a call to an ending; an unknown status is an error. */
     static Ending toEnding(Call.Result result) {
         if (result.ending() != null) {
             return result.ending();
@@ -168,8 +168,9 @@
         return switch (result.status()) {
             case 200 -> Ending.DONE;
             case 429 -> Ending.FULL;
-            // a connection that is turned away at once and closed says nothing of the destination's limit: guards
-            // against taking a table of connections that other nodes fill for one; may hurt where a limit closes too
+            // a first call that is refused with its connection closed says nothing about the destination's limit: the
+            // endpoint's connection table may be full of other nodes' connections, and must not be taken for that limit.
+            // This misjudges a destination that also closes the connection when its limit is reached
             case 503 -> result.lineBusy() ? Ending.NOT_SENT
                     : result.connectionRejected() && result.retryAfterMicros() == 0 ? Ending.CROWDED : Ending.FULL;
             case 410, 504 -> Ending.NOT_SENT;
@@ -177,7 +178,10 @@
         };
     }
 
-    /** A report such as x0=0.4,x1=25 in the order of the terms' fields; empty where it lacks one or one is no figure. */
+    /**
+     * Parses a load report such as x0=0.4,x1=25 into values in the order of the configured fields. Returns an empty array
+     * if a field is missing or a value is not a finite, non-negative number.
+     */
     static float[] parseReport(String load, List<String> reportFields) {
         if (load == null || reportFields.isEmpty()) {
             return NO_REPORT;
@@ -191,7 +195,7 @@
             try {
                 value = sides.length == 2 ? Float.parseFloat(sides[1].strip()) : -1;
             } catch (NumberFormatException e) {
-                // no figure, no report
+                // not a number: value stays -1, so there is no report
             }
             if (!Float.isFinite(value) || value < 0) {
                 return NO_REPORT;
@@ -204,7 +208,7 @@
         return Integer.bitCount(read) == reportFields.size() ? values : NO_REPORT;
     }
 
-    /** Checks an endpoint by a call of its own. */
+    /** Checks an endpoint by a call that carries no record. */
     void startProbe(long endpoint, long now) {
         EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         if (member == null) {
@@ -229,7 +233,7 @@
         });
     }
 
-    /** Takes in how a probe ended. */
+    /** Handles the result of a probe. */
     void handleResult(LoopEvent.ProbeCompleted probe) {
         if (!probe.pendingProbe().completed) {
             complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(), parseReport(probe.result().serverLoad(), reportFields));
@@ -243,7 +247,7 @@
         decisionStage.addEvent(new Event.ProbeEnded(probing.member.number(), ending, Math.max(0, at - probing.startedAt), report));
     }
 
-    /** A probe that is out. */
+    /** A probe in flight. */
     static final class PendingProbe {
         private final EndpointRegistry.Endpoint member;
         private final long startedAt;
@@ -256,7 +260,10 @@
         }
     }
 
-    /** Tells the module what the last life owed and did for it. */
+    /**
+     * Reports a record of the previous run and its shots to the decision module, unless it has ended, its notice is
+     * settled and the outcome of every shot is known.
+     */
     void restore(TrackedRecord owed, long now) {
         List<Event.EarlierShot> earlier = new ArrayList<>();
         for (TrackedRecord.Shot shot : owed.shots) {
@@ -270,7 +277,7 @@
         }
     }
 
-    /** Holds back the calls to an endpoint that still wait for their connection. */
+    /** Cancels the calls to an endpoint of which nothing has been sent yet. */
     void withhold(long endpoint) {
         EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
         if (member != null) {
--- a/src/main/java/terndyke/node/stage/TimerQueue.java
+++ b/src/main/java/terndyke/node/stage/TimerQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** What is to be done later on the decision thread, in order of time. */
+/** Tasks that the decision thread runs at a later time, ordered by due time and then by the order of scheduling. */
 public final class TimerQueue {
     private final PriorityQueue<Timer> queue = new PriorityQueue<>();
     private long nextSequence;
@@ -18,12 +18,12 @@
         queue.add(new Timer(time, nextSequence++, work));
     }
 
-    /** When the first one is due, or the given time where none is before it. */
+    /** The due time of the first task, or the given time if that is earlier. */
     public long nextDueAt(long atLatest) {
         return queue.isEmpty() ? atLatest : Math.min(atLatest, queue.peek().dueAt());
     }
 
-    /** Does all that is due. */
+    /** Runs all tasks that are due. */
     public void runDue(long now) {
         while (!queue.isEmpty() && queue.peek().dueAt() <= now) {
             queue.poll().task().run();
--- a/src/main/java/terndyke/node/stage/TrackedRecord.java
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -10,22 +10,22 @@
 import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.JournalEntry;
 
-/** A record that the node has taken on, from the taking until nothing needs it any more. */
+/** A record and its state, from its admission until nothing refers to it any more. */
 public final class TrackedRecord {
-    JournalEntry.RecordAccepted entry; // without its body once the record has its end
+    JournalEntry.RecordAccepted entry; // without its body once the record has ended
     final boolean clientRetry;
     final boolean fromDeadNode;
     final List<Shot> shots = new ArrayList<>(2);
-    ClientRequest.Responder responder; // until the client has its answer
+    ClientRequest.Responder responder; // null once the client has been answered
     JournalEntry.RecordOutcome outcome;
     long retryAfterMicros;
-    long endedAt; // since when its notice is owed in this life
-    boolean noticeSettled; // nothing is owed any more
+    long endedAt; // since when its notice has been pending in this run
+    boolean noticeSettled; // the notice was answered, or none is needed
 
-    /** One shot; ending is null while it is out. */
+    /** One shot; ending is null while it is in flight. */
     static final class Shot {
         final int number;
-        final long endpointNumber; // the endpoint's number in this life, or -1
+        final long endpointNumber; // the endpoint's number in this run, or -1 for a shot of a previous run
         final String endpointUid;
         final int zone;
         final long firedAt;
@@ -48,7 +48,10 @@
         this.responder = answer;
     }
 
-    /** Whether this is that very record: an id alone does not say so. Of one that is over, the body is gone. */
+    /**
+     * Whether a request under the same id is for this same record, since equal ids alone do not prove it. Once the record
+     * has ended its body and idempotency key are gone and are not compared.
+     */
     boolean isSameRecord(ClientRequest handover) {
         return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
                 && entry.destination() == handover.destination() && (!isOpen()
@@ -60,7 +63,7 @@
                 entry.destination(), null, entry.acceptedAt(), entry.abandonAt(), new byte[0]);
     }
 
-    /** True while the journal must hold the record's body: it may have to be shot again. */
+    /** True while the record has no outcome. The journal must keep its body that long, as it may need another shot. */
     boolean isOpen() {
         return outcome == null;
     }
