--- a/src/main/java/terndyke/Main.java
+++ b/src/main/java/terndyke/Main.java
@@ -27,42 +27,42 @@
 import terndyke.node.DeliveryNode;
 import terndyke.node.NodeLog;
 
-/** The command line: one subcommand for each way to run terndyke. */
+/** The command line, with one subcommand for each way to run terndyke. */
 public final class Main {
     private static final int EXIT_BAD_INPUT = 2;
     private static final int EXIT_BAD_USAGE = 64;
 
     private Main() { }
 
-    @Parameters(commandDescription = "run a delivery node until it is told to end")
+    @Parameters(commandDescription = "run a delivery node until it is asked to terminate")
     private static final class ServeOptions {
-        @Parameter(names = "--config", description = "the node's configuration; else NODE_CONFIG")
+        @Parameter(names = "--config", description = "configuration file of the node; default: NODE_CONFIG")
         private String config = System.getenv("NODE_CONFIG");
-        @Parameter(names = "--name", description = "the node's name; else NODE_NAME, else the configuration's")
+        @Parameter(names = "--name", description = "name of the node; default: NODE_NAME, else as configured")
         private String name = System.getenv("NODE_NAME");
-        @Parameter(names = "--listen", description = "where clients connect; else NODE_LISTEN")
+        @Parameter(names = "--listen", description = "address for client connections; default: NODE_LISTEN, else as configured")
         private String listen = System.getenv("NODE_LISTEN");
-        @Parameter(names = "--discovery", description = "where discovery answers; else the configuration's")
+        @Parameter(names = "--discovery", description = "address of discovery; default: as configured, else NODE_DISCOVERY")
         private String discovery;
-        @Parameter(names = "--state", description = "the folder that lasts; else NODE_STATE")
+        @Parameter(names = "--state", description = "directory for persistent state; default: NODE_STATE")
         private String state = System.getenv("NODE_STATE");
         @Parameter(names = "--trace", description = "log each record, shot, probe and list; lab fleet reads it")
         private boolean trace;
     }
 
-    @Parameters(commandDescription = "answer the bench's wire on standard input and output")
+    @Parameters(commandDescription = "serve the simulator protocol on standard input and output")
     private static final class AdapterOptions { }
 
     @Parameters(commandDescription = "print the version")
     private static final class VersionOptions { }
 
-    @Parameters(commandDescription = "the laboratory: lab help shows its commands")
+    @Parameters(commandDescription = "run a command of the laboratory; lab help lists them")
     private static final class LabOptions {
         @Parameter(description = "command and its options")
         private List<String> arguments = new ArrayList<>();
     }
 
-    @Parameters(commandDescription = "show this text")
+    @Parameters(commandDescription = "show this help")
     private static final class HelpOptions { }
 
     public static void main(String[] arguments) {
@@ -94,9 +94,9 @@
     }
 
     /**
-     * SIGHUP is heard from the first moment on, or it would end a process that is still starting: what comes before there
-     * is a node is told to it as soon as there is one. One at a time, and one more that waits: whatever comes beside these
-     * reads the same file.
+     * Installs the SIGHUP handler at once, since an unhandled SIGHUP would end a process that is still starting. A signal
+     * that arrives before the node exists is handled as soon as it does. One reload runs and one more may wait; further
+     * signals are dropped, as the waiting reload reads the same file.
      */
     private static CompletableFuture<Runnable> handleHangupSignals() {
         CompletableFuture<Runnable> reread = new CompletableFuture<>();
@@ -116,7 +116,8 @@
 
     private static void serve(ServeOptions serve, CompletableFuture<Runnable> reread) {
         try {
-            NodeConfiguration.StartupOptions place = new NodeConfiguration.StartupOptions(serve.config, serve.name, serve.listen, serve.discovery, serve.state);
+            NodeConfiguration.StartupOptions place = new NodeConfiguration.StartupOptions(serve.config, serve.name, serve.listen,
+                    serve.discovery, serve.state);
             NodeConfiguration charter = NodeConfiguration.read(place);
             DeliveryNode node = new DeliveryNode(charter, new NodeLog(System.out, charter.name(), serve.trace));
             reread.complete(() -> node.reloadConfiguration(place));
@@ -128,7 +129,7 @@
             try {
                 node.start();
             } catch (IOException e) {
-                Runtime.getRuntime().removeShutdownHook(close); // a node that never served has its own status
+                Runtime.getRuntime().removeShutdownHook(close); // a node that never served exits with a status of its own
                 throw e;
             }
         } catch (IOException e) {
@@ -138,8 +139,8 @@
     }
 
     /**
-     * The laboratory lies in a jar of its own beside this one, so that no node ever loads or opens anything of it; on a
-     * class path of folders it is just there.
+     * Runs the laboratory. It has a jar of its own beside this one, so that no node ever loads or opens any part of it. On
+     * a class path of directories it is loaded directly.
      */
     private static int runLab(String[] arguments) {
         try {
@@ -158,7 +159,7 @@
             return (int) Class.forName("terndyke.lab.Lab", true, loader).getMethod("run", String[].class)
                     .invoke(null, (Object) arguments);
         } catch (ReflectiveOperationException | URISyntaxException | IOException e) {
-            System.err.println("terndyke: the laboratory does not start: " + e);
+            System.err.println("terndyke: cannot start the laboratory: " + e);
             return 1;
         }
     }
--- a/src/main/java/terndyke/SignalHandlers.java
+++ b/src/main/java/terndyke/SignalHandlers.java
@@ -3,11 +3,14 @@
 import java.io.IOException;
 import java.lang.reflect.Proxy;
 
-/** Hears signals by a type of the JDK that is none of its documented ones, hence by name; unheard they end the process. */
+/**
+ * Handles signals that would otherwise end the process. It uses sun.misc.Signal, which is not part of the documented JDK and
+ * is therefore looked up by name.
+ */
 public final class SignalHandlers {
     private SignalHandlers() { }
 
-    /** Runs this at each such signal, on a thread of the JDK's; the name is short, as in HUP. */
+    /** Runs the given task for each such signal, on a thread of the JDK. The name has no prefix, as in HUP. */
     public static void register(String name, Runnable work) throws IOException {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -20,7 +23,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), heard);
         } catch (ReflectiveOperationException e) {
-            throw new IOException("this Java cannot hear SIG" + name + ": " + e, e);
+            throw new IOException("this Java runtime cannot handle SIG" + name + ": " + e, e);
         }
     }
 }
--- a/src/main/java/terndyke/node/Counters.java
+++ b/src/main/java/terndyke/node/Counters.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the node has taken in, sent and answered since its start. */
+/** Counters and maxima of what the node has received, sent and answered since its start. */
 public final class Counters {
 
-    /** One thing that is counted. */
+    /** The counters; their names in lower case are the metric names. */
     public enum Counter {
-        CLIENT_CONNECTIONS, ACCEPTS_HELD, TURNED_OUT, REQUESTS_IN, MALFORMED, TOO_LARGE, REFUSED_AT_DOOR, TAKEN, BOUNCED_AT_ONCE, REPEATS,
-        WITHDRAWN, RESTORED, SHOTS, CONNECTIONS_OPENED, DONE, ERROR, FULL, TIMED_OUT, NOT_CONNECTED, RESET, RECALLED,
+        CLIENT_CONNECTIONS, ACCEPTS_HELD, TURNED_OUT, REQUESTS_IN, MALFORMED, TOO_LARGE, REFUSED_AT_DOOR, TAKEN, BOUNCED_AT_ONCE,
+        REPEATS, WITHDRAWN, RESTORED, SHOTS, CONNECTIONS_OPENED, DONE, ERROR, FULL, TIMED_OUT, NOT_CONNECTED, RESET, RECALLED,
         NOT_SENT, CROWDED, PROBES, ENDED_DONE, ENDED_BOUNCED, ENDED_TERMINATED, NOTICES_SENT, NOTICES_ANSWERED, LISTS_TOLD,
         JOURNAL_ENTRIES, JOURNAL_COMPACTIONS, JOURNAL_REFUSALS, SLOW_TURNS,
-        /** Answers to any of the node's own calls that did not come whole, by how they fell short. */
+        /** Incomplete or unreadable answers to any of the node's own calls, by kind of defect. */
         ANSWERS_MISSING, ANSWERS_CUT, ANSWERS_UNREADABLE, ANSWERS_STALLED,
-        /** Calls with notices that brought no answer in time, and notices answered only after the time that is left for them. */
+        /** Calls with notices that failed or were not answered in time, and notices answered only after their deadline. */
         NOTICES_UNANSWERED, NOTICES_LATE,
-        /** Why requests were refused at the door. */
+        /** Reasons for which requests were refused before they were admitted. */
         REFUSED_LEAVING, REFUSED_READ_LATE, REFUSED_NO_ROOM, REFUSED_CROWDED, REFUSED_FLOODING, REFUSED_INBOX_FULL,
-        /** In microseconds: the longest turn of the decision thread, and the longest wait of a record for one. */
+        /** In microseconds: the longest turn of the decision thread, and the longest wait of a request for a turn. */
         LONGEST_TURN, LONGEST_WAIT,
-        /** In microseconds: the longest time between a message's end and the platform's answer to its notice. */
+        /** In microseconds: the longest time between a record's end and the platform's answer to its notice. */
         LONGEST_NOTICE
     }
 
@@ -41,10 +41,10 @@
         counts.get(count).addAndGet(many);
     }
 
-    /** Keeps the largest figure. */
+    /** Raises a counter that holds a maximum. Each such counter is written by one thread only. */
     public void recordMaximum(Counter count, long figure) {
         AtomicLong most = counts.get(count);
-        if (figure > most.get()) { // one thread writes it
+        if (figure > most.get()) { // not atomic: one thread writes it
             most.set(figure);
         }
     }
@@ -53,7 +53,7 @@
         return counts.get(count).get();
     }
 
-    /** One line for each counter that is not zero: its name in lower case and its figure. */
+    /** One line for each counter that is not zero: its name in lower case and its value. */
     @Override
     public String toString() {
         StringBuilder lines = new StringBuilder();
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -17,26 +17,26 @@
 import terndyke.node.stage.TrackedRecord;
 import terndyke.node.stage.LoopEvent;
 
-/** A delivery node that others can embed: start() serves, close() leaves in good order. */
+/** A delivery node that can be embedded: start() begins to serve, close() shuts down in good order. */
 public final class DeliveryNode implements AutoCloseable {
     private final NodeConfiguration configuration;
     private final NodeLog log;
     private final Counters counters = new Counters();
     private Reactor reactor;
     private Journal journal;
-    private volatile ClientRequestHandler requestHandler; // the last part to come at the start
+    private volatile ClientRequestHandler requestHandler; // set near the end of start(); null until then
     private volatile DecisionLoop decisionLoop;
     private Thread decisionThread;
     private volatile boolean ready;
     private volatile boolean shuttingDown;
-    private volatile InetSocketAddress reloadedDiscoveryAddress; // as read again, or null
+    private volatile InetSocketAddress reloadedDiscoveryAddress; // from the last configuration reload, or null
 
     public DeliveryNode(NodeConfiguration charter, NodeLog log) {
         this.configuration = charter;
         this.log = log;
     }
 
-    /** Takes up what the last life owed and serves from then on. */
+    /** Restores the unfinished records of the previous run from the journal, and serves clients from then on. */
     public void start() throws IOException {
         Limits limits = configuration.limits();
         NodeClock clock = new NodeClock();
@@ -44,15 +44,16 @@
         try {
             journal = Journal.open(configuration.stateDirectory(), limits.maxJournalBytes(), log, entries);
         } catch (IOException e) {
-            throw new IOException("no journal can be kept in " + configuration.stateDirectory() + ": " + e.getMessage(), e);
+            throw new IOException("cannot open the journal in " + configuration.stateDirectory() + ": " + e.getMessage(), e);
         }
         EndpointRegistry catalogue = new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds());
         List<String> unread = new ArrayList<>();
         Event.ListReceived known = new Event.ListReceived(List.of(), true);
         try {
-            known = configuration.knownEndpoints().isEmpty() ? known : catalogue.update(configuration.knownEndpoints(), clock.now(), unread);
+            known = configuration.knownEndpoints().isEmpty() ? known
+                    : catalogue.update(configuration.knownEndpoints(), clock.now(), unread);
         } catch (IOException e) {
-            log.warn("known list passed over: " + e.getMessage());
+            log.warn("known list: cannot be read, ignored: " + e.getMessage());
         }
         unread.forEach(text -> log.warn("known list: " + text));
         WarmUp.warmUpDispatcher(configuration, limits.warmUpTimeoutMicros());
@@ -62,20 +63,22 @@
         reactor.start();
         decisionLoop = new DecisionLoop(configuration, reactor, catalogue, book, clock, counters, log);
         if (reloadedDiscoveryAddress != null) {
-            decisionLoop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress)); // read again before there was a desk to tell
+            // the configuration was reloaded before there was a decision loop to notify
+            decisionLoop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
         }
         decisionLoop.restore(known, owed);
         decisionThread = new Thread(decisionLoop, "terndyke-desk");
         decisionThread.start();
-        requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now, () -> ready && !shuttingDown,
-                decisionLoop::offerRequest, handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
+        requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now,
+                () -> ready && !shuttingDown, decisionLoop::offerRequest,
+                handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
         reactor.listen(configuration.listenAddress(), requestHandler);
         WarmUp.warmUpHttp(configuration, reactor, clock, configuration.listenAddress(), limits.warmUpTimeoutMicros());
         awaitFirstTurn(limits.startTimeoutMicros());
         ready = true;
         log.trace(clock.now(), "serving");
         log.info("serving on " + configuration.listenAddress() + ", " + known.entries().size() + " endpoints known, "
-                + counters.get(Counters.Counter.RESTORED) + " records owed from the last life");
+                + counters.get(Counters.Counter.RESTORED) + " unfinished records of the previous run");
     }
 
     private void awaitFirstTurn(long within) throws IOException {
@@ -88,22 +91,23 @@
     }
 
     /**
-     * Reads the configuration again and follows discovery to the address that it names; all else in it is for the next
-     * start. What cannot be read leaves the node as it is. From any thread but the node's own.
+     * Reads the configuration again and switches to the address of discovery that it names; all other changes take effect
+     * at the next start. A configuration that cannot be read changes nothing. May be called from any thread except those
+     * of the node itself.
      */
     public void reloadConfiguration(NodeConfiguration.StartupOptions place) {
         try {
             NodeConfiguration told = NodeConfiguration.read(place);
             boolean same = configuration.withDiscoveryAddress(told.discoveryAddress()).equals(told);
             log.info("configuration read again, discovery at " + told.discoveryAddress()
-                    + (same ? "" : "; what else differs is taken up at the next start"));
+                    + (same ? "" : "; other changes take effect at the next start"));
             reloadedDiscoveryAddress = told.discoveryAddress();
-            DecisionLoop running = decisionLoop; // where there is none yet, the start tells it
+            DecisionLoop running = decisionLoop; // if null, start() posts the address
             if (running != null) {
                 running.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
             }
         } catch (IOException | RuntimeException e) {
-            log.warn("configuration not taken up, the old one stays: " + e.getMessage());
+            log.warn("configuration not taken up, keeping the current one: " + e.getMessage());
         }
     }
 
@@ -111,7 +115,7 @@
         return counters;
     }
 
-    /** Takes nothing new, finishes what can still be finished in time, and leaves the rest in the journal. */
+    /** Accepts no new records, finishes those that can end within the grace period, and leaves the rest in the journal. */
     @Override
     public void close() {
         if (requestHandler == null) {
@@ -128,7 +132,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            log.warn("journal", e);
+            log.warn("journal: closing failed", e);
         }
         log.info("left; counters: " + counters.toString().strip().replace("\n", ", "));
     }
--- a/src/main/java/terndyke/node/FlatJson.java
+++ b/src/main/java/terndyke/node/FlatJson.java
@@ -8,7 +8,10 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** Reads JSON into paths and plain values: lists of plain values are joined by commas, others carry a count. */
+/**
+ * Flattens a JSON object into paths and scalar values. An array of scalars becomes one value joined by commas; an array
+ * with nested elements has its elements under their index and its length under PATH.count.
+ */
 public final class FlatJson {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
@@ -16,7 +19,7 @@
 
     private FlatJson() { }
 
-    /** The values by path, such as known.targets.0.uid; an IOException names what cannot be read. */
+    /** Returns the values by path, such as known.targets.0.uid; the IOException says what cannot be parsed. */
     public static Map<String, String> read(byte[] json) throws IOException {
         FlatJson flat = new FlatJson();
         try (JsonParser parser = JSON_FACTORY.createParser(json)) {
@@ -25,13 +28,13 @@
             }
             flat.readObject(parser, "");
             if (parser.nextToken() != null) {
-                throw new IOException("more than one JSON object");
+                throw new IOException("unexpected content after the JSON object");
             }
         }
         return flat.values;
     }
 
-    /** The part of the values below a path, with the path taken off. */
+    /** Returns the values below a path, with that path removed from their keys. */
     public static Map<String, String> subtree(String path, Map<String, String> values) {
         Map<String, String> part = new LinkedHashMap<>();
         values.forEach((key, value) -> {
--- a/src/main/java/terndyke/node/Limits.java
+++ b/src/main/java/terndyke/node/Limits.java
@@ -1,29 +1,38 @@
 package terndyke.node;
 
 /**
- * All sizes, counts and times of a node, filled once at its start from what the machine grants. Times are whole
- * microseconds, sizes are bytes.
+ * All sizes, counts and times that limit a node, derived once at its start from the resources it is granted. Times are in
+ * whole microseconds, sizes in bytes.
  */
 public record Limits(
         int maxBodyBytes, int maxResponseBytes, int maxHeaderLineBytes, int maxHeaders, int maxIdChars, int ioBufferBytes,
-        int maxClientConnections, int maxExcessClientConnections, int maxPendingConnections, int listenBacklog, int maxEndpointConnections, int maxConcurrentProbes,
+        int maxClientConnections, int maxExcessClientConnections, int maxPendingConnections, int listenBacklog,
+        int maxEndpointConnections, int maxConcurrentProbes,
         int requestQueueCapacity, int maxEventsPerTurn, int maxHeldRecords, long maxHeldBytes, int maxEndedRecords,
         long maxJournalBytes, long journalReserveBytes,
         long connectTimeoutMicros, long idleConnectionTimeoutMicros, long connectionReuseDelayMicros, long responseReadTimeoutMicros,
-        long requestReadTimeoutMicros, long firstRequestTimeoutMicros, long idleClientTimeoutMicros, long idleClientEvictionMicros, long silentClientTimeoutMicros, long silentClientEvictionMicros,
+        long requestReadTimeoutMicros, long firstRequestTimeoutMicros, long idleClientTimeoutMicros, long idleClientEvictionMicros,
+        long silentClientTimeoutMicros, long silentClientEvictionMicros,
         int maxPipelinedRequests, int maxDiscardedBodyBytes, long maxAdmissionDelayMicros,
-        long watchWaitMicros, long watchSlackMicros, int maxWatchTimeoutMultiplier, long retryDelayMicros, long responseTimeoutMicros, long probeTimeoutMicros, long journalFailureDelayMicros,
-        long maxRecordTimeoutMicros, long maxPollWaitMicros, long selectIntervalMicros, long sweepIntervalMicros, long endedRecordRetentionMicros,
+        long watchWaitMicros, long watchSlackMicros, int maxWatchTimeoutMultiplier, long retryDelayMicros,
+        long responseTimeoutMicros, long probeTimeoutMicros, long journalFailureDelayMicros,
+        long maxRecordTimeoutMicros, long maxPollWaitMicros, long selectIntervalMicros, long sweepIntervalMicros,
+        long endedRecordRetentionMicros,
         long goneEndpointRetentionMicros, int maxGoneEndpoints,
-        long startTimeoutMicros, long warmUpTimeoutMicros, long shutdownGracePeriodMicros, long minShutdownMicros, long finalEventPollMicros, long closeTimeoutMicros,
-        long slowTurnThresholdMicros, long slowTurnLogIntervalMicros, long noticeDeadlineMicros, long noticeTimeoutMicros, long noticeRetryDelayMicros) {
+        long startTimeoutMicros, long warmUpTimeoutMicros, long shutdownGracePeriodMicros, long minShutdownMicros,
+        long finalEventPollMicros, long closeTimeoutMicros,
+        long slowTurnThresholdMicros, long slowTurnLogIntervalMicros, long noticeDeadlineMicros, long noticeTimeoutMicros,
+        long noticeRetryDelayMicros) {
 
-    /** Shares out a machine's memory, descriptors and disk, with the terms' bounds on calls and records. */
+    /**
+     * Divides the granted memory (MB), file descriptors and disk (MB) among the node's parts, within the delivery settings'
+     * limits on concurrent calls (slots) and on records held. The connect and idle time-outs are in microseconds.
+     */
     public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int holdingRoom,
             long connectTimeout, long idleClose) {
-        int descriptors = Math.max(64, sockets - 48); // the program's own: jar, selectors, journal, log
+        int descriptors = Math.max(64, sockets - 48); // 48 for the process itself: jar, selectors, journal, log
         int calls = Math.max(8, Math.min(descriptors / 2, 8 * slots));
-        int coming = 16; // accepted and not yet looked at
+        int coming = 16; // accepted by the listener, not yet handled
         int clients = Math.max(16, Math.min(descriptors - calls - 8 - coming, memoryMb * 2));
         long disk = Math.max(64 << 10, (long) (diskMb * 1_000_000) - (16 << 10));
         int remembered = (int) Math.min(16 * 1024, disk / 8 / 160);
--- a/src/main/java/terndyke/node/NodeClock.java
+++ b/src/main/java/terndyke/node/NodeClock.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The node's clock in whole microseconds: the wall clock at its start, carried on by the monotonic one. */
+/** The node's clock in whole microseconds since the epoch: the wall clock at its start, advanced by the monotonic clock. */
 public final class NodeClock {
     private final long wallClockAtStartMicros;
     private final long monotonicAtStartNanos = System.nanoTime();
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -13,26 +13,29 @@
 import terndyke.api.DeliverySettings;
 import terndyke.node.http.ConnectionPool;
 
-/** What a node is told at its start: who and where it is, what it may use, and the delivery terms. */
-public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, Path stateDirectory, Limits limits,
-        Map<String, String> knownEndpoints, DeliverySettings deliverySettings, List<String> gradeNames, List<String> tenantNames, List<String> zoneNames,
-        List<String> endpointKinds, List<String> reportFields) {
+/** The configuration of a node: its name, addresses and state directory, its limits, and the delivery settings. */
+public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, Path stateDirectory,
+        Limits limits, Map<String, String> knownEndpoints, DeliverySettings deliverySettings, List<String> gradeNames,
+        List<String> tenantNames, List<String> zoneNames, List<String> endpointKinds, List<String> reportFields) {
 
-    /** Where the program was told to look; what is null is taken from the file. */
-    public record StartupOptions(String configurationFile, String name, String listenAddress, String discoveryAddress, String stateDirectory) { }
+    /**
+     * Values given on the command line or in the environment. They override the configuration file; null means not given.
+     */
+    public record StartupOptions(String configurationFile, String name, String listenAddress, String discoveryAddress,
+            String stateDirectory) { }
 
-    /** Reads a node's configuration; an IOException says in one line what is wrong with it. */
+    /** Reads a node's configuration; the IOException says in one line what is wrong with it. */
     public static NodeConfiguration read(StartupOptions place) throws IOException {
         if (place.configurationFile() == null) {
-            throw new IOException("no configuration file is named");
+            throw new IOException("no configuration file given");
         }
         if (place.stateDirectory() == null) {
-            throw new IOException("no folder for what must last is named");
+            throw new IOException("no state directory given");
         }
         try {
             return read(Files.readAllBytes(Path.of(place.configurationFile())), place);
         } catch (IOException e) {
-            throw new IOException("configuration " + place.configurationFile() + " cannot be read: " + e.getMessage(), e);
+            throw new IOException("cannot read configuration " + place.configurationFile() + ": " + e.getMessage(), e);
         }
     }
 
@@ -46,7 +49,7 @@
 
     private static NodeConfiguration read(Map<String, String> told, StartupOptions place) throws IOException, InvalidInputException {
         Map<String, String> settings = FlatJson.subtree("settings", told);
-        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // one a call
+        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // this node sends one record per call
         String seed = told.getOrDefault("seed", "0");
         DeliverySettings terms = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
         Limits limits = Limits.fromResources((int) readNumber(told, "limits.memory_mb", 192),
@@ -61,16 +64,16 @@
                 readList(settings, "report.fields"));
     }
 
-    /** The same with another address of discovery, which is all that a running node takes up anew. */
+    /** A copy with another address of discovery, the only value that a running node reloads. */
     NodeConfiguration withDiscoveryAddress(InetSocketAddress address) {
-        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings, gradeNames, tenantNames, zoneNames, endpointKinds,
-                reportFields);
+        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings, gradeNames,
+                tenantNames, zoneNames, endpointKinds, reportFields);
     }
 
     private static InetSocketAddress parseAddress(String text, String what) throws IOException {
         InetSocketAddress address = ConnectionPool.parseAddress(text);
         if (address == null) {
-            throw new IOException("the " + what + " address cannot be read: " + text);
+            throw new IOException("invalid " + what + " address: " + text);
         }
         return address;
     }
--- a/src/main/java/terndyke/node/NodeLog.java
+++ b/src/main/java/terndyke/node/NodeLog.java
@@ -5,12 +5,12 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * A small logger: one line an event, with the time and the node's name, and so many lines a second at most. Lines about single
- * messages are counted apart, so that they never displace the others. Where tracing is asked for, each message, attempt, probe
- * and list gets its line too, and none is left out.
+ * A small logger that writes one line per event, with the time and the node's name, at a limited rate per second. Lines about
+ * single messages have a rate limit of their own, so that they never displace other lines. With tracing enabled, each message,
+ * attempt, probe and list update is logged too, and no trace line is dropped.
  */
 public final class NodeLog {
-    /** The first word of each traced line. */
+    /** The first word of each trace line. */
     public static final String TRACE_PREFIX = "trace";
     private static final int LINES_PER_SECOND = 50;
     private static final int RECORD_LINES_PER_SECOND = 20;
@@ -18,8 +18,9 @@
     private final PrintStream out;
     private final String name;
     private final boolean tracingEnabled;
-    private final LineRateLimiter lineLimiter = new LineRateLimiter(LINES_PER_SECOND, "more lines left out this second");
-    private final LineRateLimiter recordLineLimiter = new LineRateLimiter(RECORD_LINES_PER_SECOND, "more lines on messages left out this second");
+    private final LineRateLimiter lineLimiter = new LineRateLimiter(LINES_PER_SECOND, "more lines dropped this second");
+    private final LineRateLimiter recordLineLimiter = new LineRateLimiter(RECORD_LINES_PER_SECOND,
+            "more lines about messages dropped this second");
 
     public NodeLog(PrintStream out, String name) {
         this(out, name, false);
@@ -31,12 +32,12 @@
         this.tracingEnabled = tracing;
     }
 
-    /** Whether it is worth finding out what a traced line would say. */
+    /** Whether trace lines are written; lets callers skip the work of preparing one. */
     public boolean isTracing() {
         return tracingEnabled;
     }
 
-    /** One traced line: when, on the node's clock in whole microseconds, the verb, and what it is about, in order. */
+    /** Writes a trace line: the time on the node's clock in whole microseconds, the node's name, the verb, and its arguments. */
     public void trace(long now, String verb, Object... about) {
         if (tracingEnabled) {
             StringBuilder line = new StringBuilder(TRACE_PREFIX).append(' ').append(now).append(' ').append(name).append(' ')
@@ -52,7 +53,7 @@
         writeLine(lineLimiter, "info ", text);
     }
 
-    /** What became of one message that did not go the ordinary way: its id, what happened, and why. */
+    /** Logs an event about a single message that was not delivered in the ordinary way: its id, what happened, and why. */
     public void infoAboutRecord(String text) {
         writeLine(recordLineLimiter, "info ", text);
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /** How many lines of one kind have been asked for in the current second. */
+    /** Counts the lines of one kind in the current second. */
     private static final class LineRateLimiter {
         private final int maxPerSecond;
         private final String exceededText;
@@ -89,7 +90,7 @@
             this.exceededText = whenSpent;
         }
 
-        /** Takes one line, and says how many were taken before it in the same second. */
+        /** Counts one line and returns how many were counted before it in the same second. */
         int countLine(long now) {
             linesThisSecond = now == currentSecond ? linesThisSecond + 1 : 0;
             currentSecond = now;
--- a/src/main/java/terndyke/node/SlowTurnDetector.java
+++ b/src/main/java/terndyke/node/SlowTurnDetector.java
@@ -5,12 +5,13 @@
 import terndyke.node.Counters.Counter;
 
 /**
- * Measures each turn of the decision thread, and says of slow ones what took the time: words taken in, timers, the
- * module, carrying out its actions (journal included), or sweeping. One line a second at most; the slowest of those that
- * were not told goes into the next one. Told times, it has no clock; of the decision thread alone.
+ * Measures each turn of the decision thread and reports which phase of a slow turn took the time: handling events, timers,
+ * the decision module, performing its actions (journal writes included), or the periodic sweep. At most one line is
+ * reported per log interval; it describes the slowest turn since the previous line. The times are passed in by the caller.
+ * Not thread-safe: used by the decision thread only.
  */
 public final class SlowTurnDetector {
-    /** What a turn is doing. */
+    /** The phases of a turn, logged by name in lower case; WORDS is the handling of queued events. */
     public enum Phase { WORDS, TIMERS, MODULE, ACTIONS, SWEEP }
 
     private final long thresholdMicros;
@@ -25,7 +26,7 @@
     private String slowestDescription;
     private long lastReportedAt = Long.MIN_VALUE;
 
-    /** Both times in microseconds: from when on a turn is slow, and between two lines. */
+    /** Both times in microseconds: the duration from which a turn is slow, and the minimum time between two log lines. */
     public SlowTurnDetector(long slow, long lineEvery, Counters counters) {
         this.thresholdMicros = slow;
         this.logIntervalMicros = lineEvery;
@@ -39,18 +40,18 @@
         java.util.Arrays.fill(phaseMicros, 0);
     }
 
-    /** A record has waited so long for this turn, since it was read off its socket. */
+    /** Reports how long a request waited for this turn after it was read from its socket. */
     public void measureQueueWait(long micros) {
         counters.recordMaximum(Counter.LONGEST_WAIT, micros);
     }
 
-    /** So many words have been taken in, in the time since the last one was told. */
+    /** Ends the phase in which events were handled, with their number. */
     public void endEventPhase(int many, long now) {
         eventCount = many;
         endPhase(Phase.WORDS, now);
     }
 
-    /** What has passed since the last word was spent so. Outside a turn nothing is measured. */
+    /** Attributes the time since the previous phase ended to the given phase. Outside a turn nothing is measured. */
     public void endPhase(Phase doing, long now) {
         if (turnStartedAt >= 0) {
             phaseMicros[doing.ordinal()] += now - phaseStartedAt;
@@ -58,7 +59,7 @@
         }
     }
 
-    /** The turn is over; returns a line for the log, or null. */
+    /** Ends the turn; returns a line for the log, or null. */
     public String endTurn(long now) {
         long took = now - turnStartedAt;
         turnStartedAt = -1;
--- a/src/main/java/terndyke/node/WarmUp.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -18,27 +18,27 @@
 import terndyke.node.http.Reactor;
 
 /**
- * Goes the ways that every record goes before clients come, for a bounded time, so that the compiler has seen them.
- * Guards against a cold node on part of a core that answers late, is asked again for it, and so never warms; it makes
- * the start longer by its bounds at most. Nothing of it is kept.
+ * Exercises the code paths of a delivery before clients are served, for a bounded time, so that the JIT compiler has
+ * seen them. Without it a cold node on a fraction of a core answers late, receives repeated requests because of that,
+ * and so never warms up. It lengthens the start by its time limits at most, and leaves no state behind.
  */
 final class WarmUp {
     private static final int MAX_ITERATIONS = 400;
     private static final int ITERATIONS_PER_YIELD = 20;
-    private static final long YIELD_NANOS = 100_000; // nanoseconds
+    private static final long YIELD_NANOS = 100_000;
     private static final float[] NO_REPORT = new float[0];
 
     private WarmUp() { }
 
-    /** A dispatcher of its own takes and delivers records that nobody handed in. */
+    /** Lets a separate dispatcher accept and deliver synthetic records. */
     static void warmUpDispatcher(NodeConfiguration charter, long within) {
         warmUpDispatcher(charter, within, () -> LockSupport.parkNanos(YIELD_NANOS));
     }
 
     /**
-     * Gives way after each stretch. Guards against a machine on which many nodes start at once: this was the longest
-     * time for which a node neither waited nor ended, 150 ms of a core, and a hundred of them on one core stood still
-     * for everybody else, watchers of hung processes among them. It costs some milliseconds of the start.
+     * Yields the processor regularly, for machines on which many nodes start at once. Without that the warm-up was the
+     * longest time for which a node computed without a pause (150 ms of a core), and a hundred nodes on one core blocked
+     * all other processes, including watchdogs for hung processes. The pauses lengthen the start by some milliseconds.
      */
     static void warmUpDispatcher(NodeConfiguration charter, long within, Runnable giveWay) {
         long until = System.nanoTime() + within * 1000;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** The node asks itself for its health, which it answers as it does anybody. */
+    /** Sends health requests to the node's own listener, which handles them like those of any client. */
     static void warmUpHttp(NodeConfiguration charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
         BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
         BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
