--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -69,8 +69,8 @@
         decisionLoop.restore(known, owed);
         decisionThread = new Thread(decisionLoop, "terndyke-desk");
         decisionThread.start();
-        requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(), clock::now,
-                () -> ready && !shuttingDown, decisionLoop::offerRequest,
+        requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(),
+                clock::now, () -> ready && !shuttingDown, decisionLoop::offerRequest,
                 handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
         reactor.listen(configuration.listenAddress(), requestHandler);
         WarmUp.warmUpHttp(configuration, reactor, clock, configuration.listenAddress(), limits.warmUpTimeoutMicros());
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -14,9 +14,10 @@
 import terndyke.node.http.ConnectionPool;
 
 /** The configuration of a node: its name, addresses and state directory, its limits, and the delivery settings. */
-public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, Path stateDirectory,
-        Limits limits, Map<String, String> knownEndpoints, DeliverySettings deliverySettings, List<String> gradeNames,
-        List<String> tenantNames, List<String> zoneNames, List<String> endpointKinds, List<String> reportFields) {
+public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress,
+        Path stateDirectory, Limits limits, Map<String, String> knownEndpoints, DeliverySettings deliverySettings,
+        List<String> gradeNames, List<String> tenantNames, List<String> zoneNames, List<String> endpointKinds,
+        List<String> reportFields) {
 
     /**
      * Values given on the command line or in the environment. They override the configuration file; null means not given.
@@ -47,14 +48,17 @@
         }
     }
 
-    private static NodeConfiguration read(Map<String, String> told, StartupOptions place) throws IOException, InvalidInputException {
+    private static NodeConfiguration read(Map<String, String> told, StartupOptions place)
+            throws IOException, InvalidInputException {
         Map<String, String> settings = FlatJson.subtree("settings", told);
-        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // this node sends one record per call
+        // this node sends one record per call
+        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1"));
         String seed = told.getOrDefault("seed", "0");
         DeliverySettings terms = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
         Limits limits = Limits.fromResources((int) readNumber(told, "limits.memory_mb", 192),
                 (int) readNumber(told, "limits.sockets", 1024), readNumber(told, "limits.disk_mb", 3), terms.slots(),
-                terms.maxPendingRecords(), readSecondsAsMicros(settings, "ceilings.connectTimeout", 1), terms.idleConnectionTimeout());
+                terms.maxPendingRecords(), readSecondsAsMicros(settings, "ceilings.connectTimeout", 1),
+                terms.idleConnectionTimeout());
         return new NodeConfiguration(place.name() != null ? place.name() : told.getOrDefault("name", "node"),
                 parseAddress(place.listenAddress() != null ? place.listenAddress() : told.get("listen"), "listen"),
                 parseAddress(place.discoveryAddress() != null ? place.discoveryAddress()
@@ -66,8 +70,8 @@
 
     /** A copy with another address of discovery, the only value that a running node reloads. */
     NodeConfiguration withDiscoveryAddress(InetSocketAddress address) {
-        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings, gradeNames,
-                tenantNames, zoneNames, endpointKinds, reportFields);
+        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings,
+                gradeNames, tenantNames, zoneNames, endpointKinds, reportFields);
     }
 
     private static InetSocketAddress parseAddress(String text, String what) throws IOException {
--- a/src/main/java/terndyke/node/SlowTurnDetector.java
+++ b/src/main/java/terndyke/node/SlowTurnDetector.java
@@ -83,7 +83,8 @@
     }
 
     private String describeTurn(long took) {
-        StringBuilder text = new StringBuilder("slow turn: ").append(took / 1000).append(" ms, ").append(eventCount).append(" words");
+        StringBuilder text = new StringBuilder("slow turn: ").append(took / 1000).append(" ms, ").append(eventCount)
+                .append(" words");
         for (Phase doing : Phase.values()) {
             if (phaseMicros[doing.ordinal()] >= 1_000) {
                 text.append(", ").append(doing.name().toLowerCase(Locale.ROOT)).append(' ')
--- a/src/main/java/terndyke/node/WarmUp.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -53,8 +53,8 @@
             if (i % ITERATIONS_PER_YIELD == 0) {
                 giveWay.run();
             }
-            events.add(new Event.RecordAccepted(i, i % charter.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
-                    false, false));
+            events.add(new Event.RecordAccepted(i, i % charter.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0, i % 3,
+                    false, false, false));
             events.add(new Event.TimerExpired(0));
             List<Action> actions = dispatcher.handleEvents(i * 10_000L, events);
             events = new ArrayList<>();
--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -29,7 +29,7 @@
     /**
      * Returns true if the request goes on to the next stage; otherwise it has been answered here. A repeat is answered as
      * accepted only if it is for the same record. This guards against clients that submit content of their own under the
-     * open id of another client: if theirs arrives first, the other client's record would be taken for a repeat of it, be
+     * open id of another client: if theirs arrives first, the other client's record would be mistaken for a repeat of it, be
      * lost, and be overtaken by later records of its key (rules 1 and 5). A client that alters a record between repeats
      * may be refused for it.
      */
@@ -65,7 +65,8 @@
         if (now - handover.receivedAt() > limits.maxAdmissionDelayMicros()) {
             return Counter.REFUSED_READ_LATE;
         }
-        return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length) ? Counter.REFUSED_NO_ROOM : null;
+        return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length)
+                ? Counter.REFUSED_NO_ROOM : null;
     }
 
     /** Answers a repeat of a known record: held or delivered records are not accepted twice, bounced ones may be retried. */
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -65,13 +65,13 @@
     private volatile boolean stopped; // set by stop(), even while a turn takes too long
     private volatile boolean queueClosed; // requests added from now on may not be polled any more
 
-    public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
-            NodeLog log) {
+    public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book,
+            NodeClock clock, Counters counters, NodeLog log) {
         this(charter, reactor, catalogue, book, clock, counters, log, new LinkedBlockingQueue<>());
     }
 
-    DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
-            NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
+    DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book,
+            NodeClock clock, Counters counters, NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
         this.eventQueue = inbox;
         this.limits = charter.limits();
         this.counters = counters;
@@ -82,14 +82,18 @@
         this.keyQuietMicros = charter.deliverySettings().keyQuietPeriod();
         this.gradeCount = charter.deliverySettings().grades().size();
         slowTurnDetector = new SlowTurnDetector(limits.slowTurnThresholdMicros(), limits.slowTurnLogIntervalMicros(), counters);
-        connectionPool = new ConnectionPool(reactor, limits, counters, clock::now, line -> post(new LoopEvent.ConnectionReleased(line)));
+        connectionPool = new ConnectionPool(reactor, limits, counters, clock::now,
+                line -> post(new LoopEvent.ConnectionReleased(line)));
         decisionStage = new DecisionStage(new Dispatcher(charter.deliverySettings()));
         intakeStage = new IntakeStage(book.lastRecordNumber());
         admissionStage = new AdmissionStage(limits, counters, catalogue, book);
-        sendStage = new SendStage(limits, counters, catalogue, connectionPool, decisionStage, book, timers, charter.reportFields(), log, this);
-        notificationStage = new NotificationStage(limits, counters, charter.discoveryAddress(), connectionPool, decisionStage, book, timers, log, this);
-        watch = new Watch(limits, charter.discoveryAddress(), catalogue, connectionPool, log, charter.deliverySettings().listOnRequest(),
-                new Random(charter.deliverySettings().seed()), (round, result) -> post(new LoopEvent.WatchCompleted(round, result)));
+        sendStage = new SendStage(limits, counters, catalogue, connectionPool, decisionStage, book, timers,
+                charter.reportFields(), log, this);
+        notificationStage = new NotificationStage(limits, counters, charter.discoveryAddress(), connectionPool, decisionStage,
+                book, timers, log, this);
+        watch = new Watch(limits, charter.discoveryAddress(), catalogue, connectionPool, log,
+                charter.deliverySettings().listOnRequest(), new Random(charter.deliverySettings().seed()),
+                (round, result) -> post(new LoopEvent.WatchCompleted(round, result)));
     }
 
     public long now() {
@@ -189,7 +193,8 @@
         refuseNewRecords();
         deferredRequests.forEach(handover -> handover.responder().refused(0));
         try {
-            for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
+            for (LoopEvent word = eventQueue.poll(); word != null;
+                    word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
                 handleAtShutdown(word);
             }
         } catch (InterruptedException e) {
@@ -215,7 +220,8 @@
         long now = now();
         long next = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
         beginOnceDiscoveryResolved(now);
-        LoopEvent word = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0 : Math.max(0, next - now), TimeUnit.MICROSECONDS);
+        LoopEvent word = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0
+                : Math.max(0, next - now), TimeUnit.MICROSECONDS);
         now = now();
         slowTurnDetector.beginTurn(now);
         int words = 0;
@@ -251,7 +257,8 @@
         }
         // even with no record held the loop goes on for a minimum time: clients that do not know of the shutdown yet still
         // send requests, which must be answered
-        finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0 && !notificationStage.hasPendingNotices()
+        finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0
+                && !notificationStage.hasPendingNotices()
                 && now >= shutdownDeadline - limits.shutdownGracePeriodMicros() + limits.minShutdownMicros();
     }
 
@@ -302,7 +309,8 @@
      * unknown which client owns the id; since neither has been accepted yet, both are refused.
      */
     private void handleClientRequest(ClientRequest handover, long now) {
-        TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst().orElse(null);
+        TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst()
+                .orElse(null);
         if (same != null) {
             counters.add(Counter.REPEATS);
             handover.responder().refused(0);
@@ -356,7 +364,7 @@
             slowTurnDetector.endPhase(Phase.MODULE, now());
             answerNewRecords(actions);
             for (Action action : actions) {
-                performActions(action, now);
+                performAction(action, now);
             }
             slowTurnDetector.endPhase(Phase.ACTIONS, now());
         }
@@ -394,13 +402,14 @@
         recordStore.clearReservations();
     }
 
-    private void performActions(Action action, long now) {
+    private void performAction(Action action, long now) {
         if (action instanceof Action.SendShot shoot) {
             sendStage.sendShot(recordStore.findByNumber(shoot.id()), shoot, now);
         } else if (action instanceof Action.Recall recall && recordStore.findByNumber(recall.id()) != null) {
             sendStage.recallShot(recordStore.findByNumber(recall.id()), recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce && recordStore.findByNumber(bounce.id()) != null) {
-            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), JournalEntry.RecordOutcome.BOUNCED, bounce.retryAfter());
+            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), JournalEntry.RecordOutcome.BOUNCED,
+                    bounce.retryAfter());
         } else if (action instanceof Action.Terminate terminate && recordStore.findByNumber(terminate.id()) != null) {
             notificationStage.endRecord(recordStore.findByNumber(terminate.id()), JournalEntry.RecordOutcome.TERMINATED, 0);
         } else if (action instanceof Action.StartTimer wake) {
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -13,8 +13,8 @@
     }
 
     TrackedRecord createRecord(ClientRequest handover) {
-        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, handover.id(), handover.grade(), handover.tenant(),
-                handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
+        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, handover.id(), handover.grade(),
+                handover.tenant(), handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
                 handover.receivedAt() + handover.timeoutMicros(), handover.body()), handover.clientRetry(),
                 handover.fromDeadNode(), handover.responder());
     }
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -38,8 +38,8 @@
     private ConnectionPool.PooledConnection connection;
     private long retryAt;
 
-    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, ConnectionPool calls, DecisionStage route, RecordStore book,
-            TimerQueue timers, NodeLog log, DecisionLoop desk) {
+    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, ConnectionPool calls,
+            DecisionStage route, RecordStore book, TimerQueue timers, NodeLog log, DecisionLoop desk) {
         this.limits = limits;
         this.counters = counters;
         this.platform = ConnectionPool.Peer.forPlatform(platform);
@@ -89,7 +89,8 @@
             trace(end == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", owed);
             if (end != JournalEntry.RecordOutcome.BOUNCED || !owed.shots.isEmpty()) {
                 log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
-                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its abandon time, attempts: " + describeShots(owed));
+                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its abandon time, attempts: "
+                        + describeShots(owed));
             }
         }
     }
@@ -107,7 +108,7 @@
         }
     }
 
-    /** For an ended record of the previous run: queues its notice again, or reports to the decision module that it was answered. */
+    /** For an ended record of the previous run: queues its notice again, or reports that the notice was answered. */
     void restore(TrackedRecord owed) {
         if (owed.noticeSettled) {
             decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
@@ -137,7 +138,8 @@
         Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.hostHeader(),
             "Content-Type", "application/json", "Content-Length", Integer.toString(body.length)}, body);
         long sent = ++callNumber;
-        connection = connectionPool.startCall(platform, call, now, result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
+        connection = connectionPool.startCall(platform, call, now,
+                result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
         callInFlight = connection != null;
         counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
         if (!callInFlight) {
@@ -158,7 +160,8 @@
      * with many notices to send.
      */
     private long callTimeout() {
-        return Math.min(limits.responseTimeoutMicros(), limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
+        return Math.min(limits.responseTimeoutMicros(),
+                limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
     }
 
     /** Delay before the next call after one that failed at once; after a timeout no further delay is needed. */
@@ -202,7 +205,8 @@
     private void handleCallFailure(String why, long now, long rest) {
         counters.add(Counter.NOTICES_UNANSWERED);
         if (consecutiveFailures++ == 0) {
-            log.warn("notices unanswered: " + pendingNotices.size() + " pending, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
+            log.warn("notices unanswered: " + pendingNotices.size() + " pending, first "
+                    + pendingNotices.iterator().next().entry.id() + ", " + why);
         }
         connectionPool.closeIdle(platform);
         callInFlight = false;
@@ -222,7 +226,8 @@
                 line.append(c);
             }
         }
-        line.append("\",\"result\":\"").append(owed.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead").append('"');
+        line.append("\",\"result\":\"").append(owed.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead")
+                .append('"');
         if (owed.outcome == JournalEntry.RecordOutcome.BOUNCED && owed.retryAfterMicros > 0) {
             line.append(",\"wait_ms\":").append(owed.retryAfterMicros / 1000);
         }
@@ -258,7 +263,8 @@
         counters.recordMaximum(Counter.LONGEST_NOTICE, now - owed.endedAt);
         if (now - owed.endedAt > limits.noticeDeadlineMicros()) {
             counters.add(Counter.NOTICES_LATE);
-            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000 + " ms after the message ended");
+            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000
+                    + " ms after the message ended");
         }
         pendingNotices.remove(owed);
         recordStore.settleNotice(owed);
--- a/src/main/java/terndyke/node/stage/RecordStore.java
+++ b/src/main/java/terndyke/node/stage/RecordStore.java
@@ -126,7 +126,8 @@
 
     /** Journals a shot before its first byte is sent; false if the entry could not be written. */
     boolean journalShot(TrackedRecord owed, TrackedRecord.Shot shot) {
-        return appendEntry(new JournalEntry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone, shot.firedAt), 0);
+        return appendEntry(new JournalEntry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone,
+                shot.firedAt), 0);
     }
 
     void endShot(TrackedRecord owed, TrackedRecord.Shot shot, Ending ending) {
@@ -165,7 +166,8 @@
         for (int i = endedRecords.size(); i > 0; i--) {
             TrackedRecord owed = endedRecords.pollFirst();
             boolean out = owed.shots.stream().anyMatch(shot -> shot.ending == null && shot.connection != null);
-            if (owed.noticeSettled && !out && (now > owed.entry.abandonAt() + rest || endedRecords.size() > limits.maxEndedRecords())) {
+            if (owed.noticeSettled && !out
+                    && (now > owed.entry.abandonAt() + rest || endedRecords.size() > limits.maxEndedRecords())) {
                 recordsByNumber.remove(owed.entry.number());
                 recordsById.remove(owed.entry.id(), owed);
                 liveBytes -= ENDED_RECORD_BYTES;
@@ -209,7 +211,8 @@
             }
             if (!owed.isOpen()) {
                 entries.add(new JournalEntry.RecordEnded(number, owed.outcome, owed.retryAfterMicros));
-                if (owed.noticeSettled && owed.outcome != JournalEntry.RecordOutcome.DONE && owed.outcome != JournalEntry.RecordOutcome.WITHDRAWN) {
+                if (owed.noticeSettled && owed.outcome != JournalEntry.RecordOutcome.DONE
+                        && owed.outcome != JournalEntry.RecordOutcome.WITHDRAWN) {
                     entries.add(new JournalEntry.NoticeAnswered(number));
                 }
             }
--- a/src/main/java/terndyke/node/stage/SendStage.java
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -33,8 +33,8 @@
     private final DecisionLoop decisionLoop;
     private int probesInFlight;
 
-    public SendStage(Limits limits, Counters counters, EndpointRegistry catalogue, ConnectionPool calls, DecisionStage route, RecordStore book,
-            TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
+    public SendStage(Limits limits, Counters counters, EndpointRegistry catalogue, ConnectionPool calls, DecisionStage route,
+            RecordStore book, TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
         this.limits = limits;
         this.counters = counters;
         this.endpointRegistry = catalogue;
@@ -65,14 +65,16 @@
             complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, false, NO_REPORT);
             return;
         }
-        if (!recordStore.journalShot(owed, shot)) { // reported after a delay, lest a full disk uses up all shots of a record at once
+        if (!recordStore.journalShot(owed, shot)) {
+            // reported after a delay, so that a full disk does not use up all shots of a record at once
             timers.schedule(now + limits.journalFailureDelayMicros(),
                     () -> complete(owed, shot, endpoint, Ending.NOT_SENT, decisionLoop.now(), 0, true, NO_REPORT));
             return;
         }
         counters.add(Counter.SHOTS);
         long opened = log.isTracing() ? counters.get(Counter.CONNECTIONS_OPENED) : 0;
-        shot.connection = connectionPool.startCall(member.peer(), buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
+        shot.connection = connectionPool.startCall(member.peer(),
+                buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
                 result -> decisionLoop.post(new LoopEvent.ShotCompleted(owed, shot, endpoint, result, decisionLoop.now())));
         if (shot.connection == null) {
             complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, true, NO_REPORT);
@@ -121,8 +123,8 @@
             Call.Result result = over.result();
             Ending ending = toEnding(result);
             if (ending == Ending.ERROR || result.ending() != null || result.defect() != ResponseDefect.NONE) {
-                log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt()) + ", status " + result.status()
-                        + ", response defect " + result.defect());
+                log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt())
+                        + ", status " + result.status() + ", response defect " + result.defect());
             }
             if (result.status() == 410) {
                 log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " withdrawn: status 410 from the endpoint");
@@ -135,8 +137,8 @@
         }
     }
 
-    private void complete(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending, long at, long wait, boolean noSlot,
-            float[] report) {
+    private void complete(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending, long at, long wait,
+            boolean noSlot, float[] report) {
         counters.add(Counter.valueOf(ending.name()));
         if (log.isTracing()) {
             log.trace(at, "over", owed.entry.number(), shot.number, shot.endpointUid, owed.entry.destination(), ending,
@@ -169,7 +171,7 @@
             case 200 -> Ending.DONE;
             case 429 -> Ending.FULL;
             // a first call that is refused with its connection closed says nothing about the destination's limit: the
-            // endpoint's connection table may be full of other nodes' connections, and must not be taken for that limit.
+            // endpoint's connection table may be full of other nodes' connections, which must not be mistaken for that limit.
             // This misjudges a destination that also closes the connection when its limit is reached
             case 503 -> result.lineBusy() ? Ending.NOT_SENT
                     : result.connectionRejected() && result.retryAfterMicros() == 0 ? Ending.CROWDED : Ending.FULL;
@@ -216,7 +218,8 @@
         }
         Call call = new Call("GET", "/ping", new String[] {"Host", member.peer().hostHeader()}, EMPTY_BODY);
         PendingProbe probing = new PendingProbe(member, now);
-        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null : connectionPool.startCall(member.peer(), call, now,
+        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null
+                : connectionPool.startCall(member.peer(), call, now,
                 result -> decisionLoop.post(new LoopEvent.ProbeCompleted(probing, result, decisionLoop.now())));
         if (probing.connection == null) {
             decisionStage.addEvent(new Event.ProbeEnded(endpoint, Ending.NOT_SENT, 0, NO_REPORT));
@@ -236,7 +239,8 @@
     /** Handles the result of a probe. */
     void handleResult(LoopEvent.ProbeCompleted probe) {
         if (!probe.pendingProbe().completed) {
-            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(), parseReport(probe.result().serverLoad(), reportFields));
+            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(),
+                    parseReport(probe.result().serverLoad(), reportFields));
         }
     }
 
@@ -244,7 +248,8 @@
         probing.completed = true;
         probesInFlight--;
         log.trace(at, "probed", probing.member.uid(), probing.member.destination(), ending, at - probing.startedAt);
-        decisionStage.addEvent(new Event.ProbeEnded(probing.member.number(), ending, Math.max(0, at - probing.startedAt), report));
+        decisionStage.addEvent(new Event.ProbeEnded(probing.member.number(), ending,
+                Math.max(0, at - probing.startedAt), report));
     }
 
     /** A probe in flight. */
--- a/src/main/java/terndyke/node/stage/TrackedRecord.java
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -55,7 +55,8 @@
     boolean isSameRecord(ClientRequest handover) {
         return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
                 && entry.destination() == handover.destination() && (!isOpen()
-                || Objects.equals(entry.idempotencyKey(), handover.idempotencyKey()) && Arrays.equals(entry.body(), handover.body()));
+                || Objects.equals(entry.idempotencyKey(), handover.idempotencyKey())
+                && Arrays.equals(entry.body(), handover.body()));
     }
 
     void dropBody() {
