--- a/src/main/java/terndyke/Main.java
+++ b/src/main/java/terndyke/Main.java
@@ -69,9 +69,9 @@
         if (arguments.length > 0 && arguments[0].equals("lab")) {
             System.exit(runLab(Arrays.copyOfRange(arguments, 1, arguments.length)));
         }
-        CompletableFuture<Runnable> reread = arguments.length > 0 && arguments[0].equals("serve") ? handleHangupSignals() : null;
-        ServeOptions serve = new ServeOptions();
-        JCommander commands = JCommander.newBuilder().programName("terndyke").addCommand("serve", serve)
+        CompletableFuture<Runnable> reload = arguments.length > 0 && arguments[0].equals("serve") ? handleHangupSignals() : null;
+        ServeOptions serveOptions = new ServeOptions();
+        JCommander commands = JCommander.newBuilder().programName("terndyke").addCommand("serve", serveOptions)
                 .addCommand("adapter", new AdapterOptions())
                 .addCommand("lab", new LabOptions()).addCommand("version", new VersionOptions())
                 .addCommand("help", new HelpOptions()).build();
@@ -82,7 +82,7 @@
             System.exit(EXIT_BAD_USAGE);
         }
         switch (String.valueOf(commands.getParsedCommand())) {
-            case "serve" -> serve(serve, reread);
+            case "serve" -> serve(serveOptions, reload);
             case "adapter" -> System.exit(runAdapter());
             case "version" -> System.out.println("terndyke " + Main.class.getPackage().getImplementationVersion());
             case "help" -> commands.usage();
@@ -99,37 +99,39 @@
      * signals are dropped, as the waiting reload reads the same file.
      */
     private static CompletableFuture<Runnable> handleHangupSignals() {
-        CompletableFuture<Runnable> reread = new CompletableFuture<>();
-        ThreadPoolExecutor rereads = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), work -> {
-            Thread thread = new Thread(work, "terndyke-reread");
+        CompletableFuture<Runnable> reload = new CompletableFuture<>();
+        ThreadPoolExecutor reloadExecutor = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
+                new ArrayBlockingQueue<>(1), task -> {
+            Thread thread = new Thread(task, "terndyke-reread");
             thread.setDaemon(true);
             return thread;
         }, new ThreadPoolExecutor.DiscardPolicy());
         try {
-            SignalHandlers.register("HUP", () -> rereads.execute(() -> reread.join().run()));
+            SignalHandlers.register("HUP", () -> reloadExecutor.execute(() -> reload.join().run()));
         } catch (IOException e) {
             System.err.println("terndyke: " + e.getMessage());
             System.exit(EXIT_BAD_INPUT);
         }
-        return reread;
+        return reload;
     }
 
-    private static void serve(ServeOptions serve, CompletableFuture<Runnable> reread) {
+    private static void serve(ServeOptions serveOptions, CompletableFuture<Runnable> reload) {
         try {
-            NodeConfiguration.StartupOptions place = new NodeConfiguration.StartupOptions(serve.config, serve.name, serve.listen,
-                    serve.discovery, serve.state);
-            NodeConfiguration charter = NodeConfiguration.read(place);
-            DeliveryNode node = new DeliveryNode(charter, new NodeLog(System.out, charter.name(), serve.trace));
-            reread.complete(() -> node.reloadConfiguration(place));
-            Thread close = new Thread(() -> {
+            NodeConfiguration.StartupOptions options = new NodeConfiguration.StartupOptions(serveOptions.config,
+                    serveOptions.name, serveOptions.listen, serveOptions.discovery, serveOptions.state);
+            NodeConfiguration configuration = NodeConfiguration.read(options);
+            DeliveryNode node = new DeliveryNode(configuration,
+                    new NodeLog(System.out, configuration.name(), serveOptions.trace));
+            reload.complete(() -> node.reloadConfiguration(options));
+            Thread shutdownHook = new Thread(() -> {
                 node.close();
                 Runtime.getRuntime().halt(0);
             }, "terndyke-close");
-            Runtime.getRuntime().addShutdownHook(close);
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             try {
                 node.start();
             } catch (IOException e) {
-                Runtime.getRuntime().removeShutdownHook(close); // a node that never served exits with a status of its own
+                Runtime.getRuntime().removeShutdownHook(shutdownHook); // a node that never served exits with a status of its own
                 throw e;
             }
         } catch (IOException e) {
@@ -144,16 +146,16 @@
      */
     private static int runLab(String[] arguments) {
         try {
-            Path own = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path ownJar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
             ClassLoader loader = Main.class.getClassLoader();
-            if (Files.isRegularFile(own)) {
-                Path jar = own.resolveSibling("terndyke-lab.jar");
-                if (!Files.isRegularFile(jar)) {
-                    System.err.println("terndyke: the laboratory is not installed: " + jar + " is missing");
+            if (Files.isRegularFile(ownJar)) {
+                Path labJar = ownJar.resolveSibling("terndyke-lab.jar");
+                if (!Files.isRegularFile(labJar)) {
+                    System.err.println("terndyke: the laboratory is not installed: " + labJar + " is missing");
                     return EXIT_BAD_INPUT;
                 }
-                System.setProperty("terndyke.jar", own.toString());
-                loader = new URLClassLoader(new URL[] {jar.toUri().toURL()}, loader);
+                System.setProperty("terndyke.jar", ownJar.toString());
+                loader = new URLClassLoader(new URL[] {labJar.toUri().toURL()}, loader);
                 Thread.currentThread().setContextClassLoader(loader);
             }
             return (int) Class.forName("terndyke.lab.Lab", true, loader).getMethod("run", String[].class)
--- a/src/main/java/terndyke/SignalHandlers.java
+++ b/src/main/java/terndyke/SignalHandlers.java
@@ -11,17 +11,17 @@
     private SignalHandlers() { }
 
     /** Runs the given task for each such signal, on a thread of the JDK. The name has no prefix, as in HUP. */
-    public static void register(String name, Runnable work) throws IOException {
+    public static void register(String name, Runnable task) throws IOException {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object heard = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, given) -> {
-                        work.run();
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(SignalHandlers.class.getClassLoader(), new Class<?>[] {handlerType},
+                    (proxy, method, arguments) -> {
+                        task.run();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), heard);
+            signalType.getMethod("handle", signalType, handlerType)
+                    .invoke(null, signalType.getConstructor(String.class).newInstance(name), handlerProxy);
         } catch (ReflectiveOperationException e) {
             throw new IOException("this Java runtime cannot handle SIG" + name + ": " + e, e);
         }
--- a/src/main/java/terndyke/node/Counters.java
+++ b/src/main/java/terndyke/node/Counters.java
@@ -28,38 +28,38 @@
     private final Map<Counter, AtomicLong> counts = new EnumMap<>(Counter.class);
 
     public Counters() {
-        for (Counter count : Counter.values()) {
-            counts.put(count, new AtomicLong());
+        for (Counter counter : Counter.values()) {
+            counts.put(counter, new AtomicLong());
         }
     }
 
-    public void add(Counter count) {
-        add(count, 1);
+    public void add(Counter counter) {
+        add(counter, 1);
     }
 
-    public void add(Counter count, long many) {
-        counts.get(count).addAndGet(many);
+    public void add(Counter counter, long amount) {
+        counts.get(counter).addAndGet(amount);
     }
 
     /** Raises a counter that holds a maximum. Each such counter is written by one thread only. */
-    public void recordMaximum(Counter count, long figure) {
-        AtomicLong most = counts.get(count);
-        if (figure > most.get()) { // not atomic: one thread writes it
-            most.set(figure);
+    public void recordMaximum(Counter counter, long value) {
+        AtomicLong maximum = counts.get(counter);
+        if (value > maximum.get()) { // not atomic: one thread writes it
+            maximum.set(value);
         }
     }
 
-    public long get(Counter count) {
-        return counts.get(count).get();
+    public long get(Counter counter) {
+        return counts.get(counter).get();
     }
 
     /** One line for each counter that is not zero: its name in lower case and its value. */
     @Override
     public String toString() {
         StringBuilder lines = new StringBuilder();
-        counts.forEach((count, figure) -> {
-            if (figure.get() != 0) {
-                lines.append(count.name().toLowerCase(java.util.Locale.ROOT)).append(' ').append(figure).append('\n');
+        counts.forEach((counter, value) -> {
+            if (value.get() != 0) {
+                lines.append(counter.name().toLowerCase(java.util.Locale.ROOT)).append(' ').append(value).append('\n');
             }
         });
         return lines.toString();
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -31,8 +31,8 @@
     private volatile boolean shuttingDown;
     private volatile InetSocketAddress reloadedDiscoveryAddress; // from the last configuration reload, or null
 
-    public DeliveryNode(NodeConfiguration charter, NodeLog log) {
-        this.configuration = charter;
+    public DeliveryNode(NodeConfiguration configuration, NodeLog log) {
+        this.configuration = configuration;
         this.log = log;
     }
 
@@ -46,44 +46,44 @@
         } catch (IOException e) {
             throw new IOException("cannot open the journal in " + configuration.stateDirectory() + ": " + e.getMessage(), e);
         }
-        EndpointRegistry catalogue = new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds());
-        List<String> unread = new ArrayList<>();
-        Event.ListReceived known = new Event.ListReceived(List.of(), true);
+        EndpointRegistry endpointRegistry = new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds());
+        List<String> rejectedEntries = new ArrayList<>();
+        Event.ListReceived knownList = new Event.ListReceived(List.of(), true);
         try {
-            known = configuration.knownEndpoints().isEmpty() ? known
-                    : catalogue.update(configuration.knownEndpoints(), clock.now(), unread);
+            knownList = configuration.knownEndpoints().isEmpty() ? knownList
+                    : endpointRegistry.update(configuration.knownEndpoints(), clock.now(), rejectedEntries);
         } catch (IOException e) {
             log.warn("known list: cannot be read, ignored: " + e.getMessage());
         }
-        unread.forEach(text -> log.warn("known list: " + text));
+        rejectedEntries.forEach(text -> log.warn("known list: " + text));
         WarmUp.warmUpDispatcher(configuration, limits.warmUpTimeoutMicros());
-        RecordStore book = new RecordStore(journal, limits, counters, log);
-        Collection<TrackedRecord> owed = book.restore(entries);
+        RecordStore recordStore = new RecordStore(journal, limits, counters, log);
+        Collection<TrackedRecord> restoredRecords = recordStore.restore(entries);
         reactor = new Reactor(limits, counters, log);
         reactor.start();
-        decisionLoop = new DecisionLoop(configuration, reactor, catalogue, book, clock, counters, log);
+        decisionLoop = new DecisionLoop(configuration, reactor, endpointRegistry, recordStore, clock, counters, log);
         if (reloadedDiscoveryAddress != null) {
             // the configuration was reloaded before there was a decision loop to notify
             decisionLoop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
         }
-        decisionLoop.restore(known, owed);
+        decisionLoop.restore(knownList, restoredRecords);
         decisionThread = new Thread(decisionLoop, "terndyke-desk");
         decisionThread.start();
         requestHandler = new ClientRequestHandler(limits, counters, configuration.gradeNames(), configuration.tenantNames(),
                 clock::now, () -> ready && !shuttingDown, decisionLoop::offerRequest,
-                handover -> decisionLoop.post(new LoopEvent.ClientDisconnected(handover)));
+                request -> decisionLoop.post(new LoopEvent.ClientDisconnected(request)));
         reactor.listen(configuration.listenAddress(), requestHandler);
         WarmUp.warmUpHttp(configuration, reactor, clock, configuration.listenAddress(), limits.warmUpTimeoutMicros());
         awaitFirstTurn(limits.startTimeoutMicros());
         ready = true;
         log.trace(clock.now(), "serving");
-        log.info("serving on " + configuration.listenAddress() + ", " + known.entries().size() + " endpoints known, "
+        log.info("serving on " + configuration.listenAddress() + ", " + knownList.entries().size() + " endpoints known, "
                 + counters.get(Counters.Counter.RESTORED) + " unfinished records of the previous run");
     }
 
-    private void awaitFirstTurn(long within) throws IOException {
+    private void awaitFirstTurn(long timeoutMicros) throws IOException {
         try {
-            decisionLoop.awaitFirstTurn(within);
+            decisionLoop.awaitFirstTurn(timeoutMicros);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
@@ -95,16 +95,16 @@
      * at the next start. A configuration that cannot be read changes nothing. May be called from any thread except those
      * of the node itself.
      */
-    public void reloadConfiguration(NodeConfiguration.StartupOptions place) {
+    public void reloadConfiguration(NodeConfiguration.StartupOptions options) {
         try {
-            NodeConfiguration told = NodeConfiguration.read(place);
-            boolean same = configuration.withDiscoveryAddress(told.discoveryAddress()).equals(told);
-            log.info("configuration read again, discovery at " + told.discoveryAddress()
-                    + (same ? "" : "; other changes take effect at the next start"));
-            reloadedDiscoveryAddress = told.discoveryAddress();
-            DecisionLoop running = decisionLoop; // if null, start() posts the address
-            if (running != null) {
-                running.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
+            NodeConfiguration reloaded = NodeConfiguration.read(options);
+            boolean restUnchanged = configuration.withDiscoveryAddress(reloaded.discoveryAddress()).equals(reloaded);
+            log.info("configuration read again, discovery at " + reloaded.discoveryAddress()
+                    + (restUnchanged ? "" : "; other changes take effect at the next start"));
+            reloadedDiscoveryAddress = reloaded.discoveryAddress();
+            DecisionLoop loop = decisionLoop; // if null, start() posts the address
+            if (loop != null) {
+                loop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
             }
         } catch (IOException | RuntimeException e) {
             log.warn("configuration not taken up, keeping the current one: " + e.getMessage());
--- a/src/main/java/terndyke/node/FlatJson.java
+++ b/src/main/java/terndyke/node/FlatJson.java
@@ -36,13 +36,13 @@
 
     /** Returns the values below a path, with that path removed from their keys. */
     public static Map<String, String> subtree(String path, Map<String, String> values) {
-        Map<String, String> part = new LinkedHashMap<>();
+        Map<String, String> result = new LinkedHashMap<>();
         values.forEach((key, value) -> {
             if (key.startsWith(path + ".")) {
-                part.put(key.substring(path.length() + 1), value);
+                result.put(key.substring(path.length() + 1), value);
             }
         });
-        return part;
+        return result;
     }
 
     private void readObject(JsonParser parser, String path) throws IOException {
@@ -63,7 +63,7 @@
     }
 
     private void readArray(JsonParser parser, String path) throws IOException {
-        StringBuilder plain = new StringBuilder();
+        StringBuilder joined = new StringBuilder();
         int count = 0;
         boolean nested = false;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -71,7 +71,7 @@
                 nested = true;
                 readValue(parser, path + "." + count);
             } else {
-                plain.append(count > 0 ? "," : "").append(parser.getText());
+                joined.append(count > 0 ? "," : "").append(parser.getText());
             }
             count++;
         }
@@ -79,7 +79,7 @@
             values.put(path + ".count", Integer.toString(count));
         }
         if (!nested) {
-            values.put(path, plain.toString());
+            values.put(path, joined.toString());
         }
     }
 }
--- a/src/main/java/terndyke/node/Limits.java
+++ b/src/main/java/terndyke/node/Limits.java
@@ -30,19 +30,20 @@
      * Divides the granted memory (MB), file descriptors and disk (MB) among the node's parts, within the delivery settings'
      * limits on concurrent calls (slots) and on records held. The connect and idle time-outs are in microseconds.
      */
-    public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int holdingRoom,
-            long connectTimeout, long idleClose) {
+    public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int maxPendingRecords,
+            long connectTimeout, long idleTimeout) {
         int descriptors = Math.max(64, sockets - 48); // 48 for the process itself: jar, selectors, journal, log
-        int calls = Math.max(8, Math.min(descriptors / 2, 8 * slots));
-        int coming = 16; // accepted by the listener, not yet handled
-        int clients = Math.max(16, Math.min(descriptors - calls - 8 - coming, memoryMb * 2));
-        long disk = Math.max(64 << 10, (long) (diskMb * 1_000_000) - (16 << 10));
-        int remembered = (int) Math.min(16 * 1024, disk / 8 / 160);
+        int endpointConnections = Math.max(8, Math.min(descriptors / 2, 8 * slots));
+        int pendingConnections = 16; // accepted by the listener, not yet handled
+        int clientConnections = Math.max(16, Math.min(descriptors - endpointConnections - 8 - pendingConnections, memoryMb * 2));
+        long journalBytes = Math.max(64 << 10, (long) (diskMb * 1_000_000) - (16 << 10));
+        int endedRecords = (int) Math.min(16 * 1024, journalBytes / 8 / 160);
         return new Limits(64 << 10, 2 << 20, 8 << 10, 64, 200, 4 << 10,
-                clients * 7 / 8, clients / 8, coming, 256, calls, Math.max(4, calls / 8),
-                1024, 256, holdingRoom, memoryMb * 1_000_000L / 8, remembered,
-                disk, disk / 8,
-                connectTimeout, idleClose <= 0 ? 0 : idleClose * 4 / 5, 10_000, 1_000_000,
+                clientConnections * 7 / 8, clientConnections / 8, pendingConnections, 256, endpointConnections,
+                Math.max(4, endpointConnections / 8),
+                1024, 256, maxPendingRecords, memoryMb * 1_000_000L / 8, endedRecords,
+                journalBytes, journalBytes / 8,
+                connectTimeout, idleTimeout <= 0 ? 0 : idleTimeout * 4 / 5, 10_000, 1_000_000,
                 2_000_000, 2_600_000, 3_000_000, 2_000_000, 2_100_000, 50_000, 8, 8 << 20, 350_000,
                 2_000_000, 700_000, 3, 200_000, 1_000_000, 1_500_000, 1_000_000,
                 86_400_000_000L, 100_000, 100_000, 500_000, 1_000_000,
--- a/src/main/java/terndyke/node/NodeClock.java
+++ b/src/main/java/terndyke/node/NodeClock.java
@@ -9,8 +9,8 @@
     private final long monotonicAtStartNanos = System.nanoTime();
 
     public NodeClock() {
-        Duration since = Duration.between(Instant.EPOCH, Instant.now());
-        wallClockAtStartMicros = since.getSeconds() * 1_000_000 + since.getNano() / 1000;
+        Duration sinceEpoch = Duration.between(Instant.EPOCH, Instant.now());
+        wallClockAtStartMicros = sinceEpoch.getSeconds() * 1_000_000 + sinceEpoch.getNano() / 1000;
     }
 
     public long now() {
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -26,44 +26,46 @@
             String stateDirectory) { }
 
     /** Reads a node's configuration; the IOException says in one line what is wrong with it. */
-    public static NodeConfiguration read(StartupOptions place) throws IOException {
-        if (place.configurationFile() == null) {
+    public static NodeConfiguration read(StartupOptions options) throws IOException {
+        if (options.configurationFile() == null) {
             throw new IOException("no configuration file given");
         }
-        if (place.stateDirectory() == null) {
+        if (options.stateDirectory() == null) {
             throw new IOException("no state directory given");
         }
         try {
-            return read(Files.readAllBytes(Path.of(place.configurationFile())), place);
+            return read(Files.readAllBytes(Path.of(options.configurationFile())), options);
         } catch (IOException e) {
-            throw new IOException("cannot read configuration " + place.configurationFile() + ": " + e.getMessage(), e);
+            throw new IOException("cannot read configuration " + options.configurationFile() + ": " + e.getMessage(), e);
         }
     }
 
-    static NodeConfiguration read(byte[] json, StartupOptions place) throws IOException {
+    static NodeConfiguration read(byte[] json, StartupOptions options) throws IOException {
         try {
-            return read(FlatJson.read(json), place);
+            return read(FlatJson.read(json), options);
         } catch (InvalidInputException | IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static NodeConfiguration read(Map<String, String> told, StartupOptions place)
+    private static NodeConfiguration read(Map<String, String> values, StartupOptions options)
             throws IOException, InvalidInputException {
-        Map<String, String> settings = FlatJson.subtree("settings", told);
+        Map<String, String> settings = FlatJson.subtree("settings", values);
         // this node sends one record per call
-        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1"));
-        String seed = told.getOrDefault("seed", "0");
-        DeliverySettings terms = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
-        Limits limits = Limits.fromResources((int) readNumber(told, "limits.memory_mb", 192),
-                (int) readNumber(told, "limits.sockets", 1024), readNumber(told, "limits.disk_mb", 3), terms.slots(),
-                terms.maxPendingRecords(), readSecondsAsMicros(settings, "ceilings.connectTimeout", 1),
-                terms.idleConnectionTimeout());
-        return new NodeConfiguration(place.name() != null ? place.name() : told.getOrDefault("name", "node"),
-                parseAddress(place.listenAddress() != null ? place.listenAddress() : told.get("listen"), "listen"),
-                parseAddress(place.discoveryAddress() != null ? place.discoveryAddress()
-                        : told.getOrDefault("discovery", System.getenv("NODE_DISCOVERY")), "discovery"),
-                Path.of(place.stateDirectory()), limits, FlatJson.subtree("known", told), terms, readNames(settings, "classes"),
+        settings.computeIfPresent("familyInfo.perCall", (key, perCall) -> perCall.replaceAll("\\d+", "1"));
+        String seed = values.getOrDefault("seed", "0");
+        DeliverySettings deliverySettings = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
+        Limits limits = Limits.fromResources((int) readNumber(values, "limits.memory_mb", 192),
+                (int) readNumber(values, "limits.sockets", 1024), readNumber(values, "limits.disk_mb", 3),
+                deliverySettings.slots(), deliverySettings.maxPendingRecords(),
+                readSecondsAsMicros(settings, "ceilings.connectTimeout", 1),
+                deliverySettings.idleConnectionTimeout());
+        return new NodeConfiguration(options.name() != null ? options.name() : values.getOrDefault("name", "node"),
+                parseAddress(options.listenAddress() != null ? options.listenAddress() : values.get("listen"), "listen"),
+                parseAddress(options.discoveryAddress() != null ? options.discoveryAddress()
+                        : values.getOrDefault("discovery", System.getenv("NODE_DISCOVERY")), "discovery"),
+                Path.of(options.stateDirectory()), limits, FlatJson.subtree("known", values), deliverySettings,
+                readNames(settings, "classes"),
                 readNames(settings, "tenants"), readList(settings, "dcs"), readList(settings, "kinds"),
                 readList(settings, "report.fields"));
     }
@@ -74,28 +76,28 @@
                 gradeNames, tenantNames, zoneNames, endpointKinds, reportFields);
     }
 
-    private static InetSocketAddress parseAddress(String text, String what) throws IOException {
+    private static InetSocketAddress parseAddress(String text, String fieldName) throws IOException {
         InetSocketAddress address = ConnectionPool.parseAddress(text);
         if (address == null) {
-            throw new IOException("invalid " + what + " address: " + text);
+            throw new IOException("invalid " + fieldName + " address: " + text);
         }
         return address;
     }
 
-    private static double readNumber(Map<String, String> values, String key, double absent) {
+    private static double readNumber(Map<String, String> values, String key, double defaultValue) {
         String value = values.get(key);
-        return value == null ? absent : Double.parseDouble(value);
+        return value == null ? defaultValue : Double.parseDouble(value);
     }
 
-    private static long readSecondsAsMicros(Map<String, String> values, String key, double absent) {
-        return Math.round(readNumber(values, key, absent) * 1e6);
+    private static long readSecondsAsMicros(Map<String, String> values, String key, double defaultValue) {
+        return Math.round(readNumber(values, key, defaultValue) * 1e6);
     }
 
-    private static List<String> readNames(Map<String, String> settings, String of) {
+    private static List<String> readNames(Map<String, String> settings, String key) {
         List<String> names = new ArrayList<>();
-        int count = (int) readNumber(settings, of + ".count", 0);
+        int count = (int) readNumber(settings, key + ".count", 0);
         for (int i = 0; i < count; i++) {
-            names.add(settings.getOrDefault(of + "." + i + ".name", Integer.toString(i)));
+            names.add(settings.getOrDefault(key + "." + i + ".name", Integer.toString(i)));
         }
         return List.copyOf(names);
     }
--- a/src/main/java/terndyke/node/NodeLog.java
+++ b/src/main/java/terndyke/node/NodeLog.java
@@ -26,10 +26,10 @@
         this(out, name, false);
     }
 
-    public NodeLog(PrintStream out, String name, boolean tracing) {
+    public NodeLog(PrintStream out, String name, boolean tracingEnabled) {
         this.out = out;
         this.name = name;
-        this.tracingEnabled = tracing;
+        this.tracingEnabled = tracingEnabled;
     }
 
     /** Whether trace lines are written; lets callers skip the work of preparing one. */
@@ -38,12 +38,12 @@
     }
 
     /** Writes a trace line: the time on the node's clock in whole microseconds, the node's name, the verb, and its arguments. */
-    public void trace(long now, String verb, Object... about) {
+    public void trace(long now, String verb, Object... arguments) {
         if (tracingEnabled) {
             StringBuilder line = new StringBuilder(TRACE_PREFIX).append(' ').append(now).append(' ').append(name).append(' ')
                     .append(verb);
-            for (Object one : about) {
-                line.append(' ').append(one);
+            for (Object argument : arguments) {
+                line.append(' ').append(argument);
             }
             out.println(line);
         }
@@ -63,18 +63,18 @@
     }
 
     public void warn(String text, Throwable cause) {
-        StackTraceElement[] trace = cause.getStackTrace();
-        warn(text + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+        StackTraceElement[] stackTrace = cause.getStackTrace();
+        warn(text + ": " + cause + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 
-    private synchronized void writeLine(LineRateLimiter budget, String level, String text) {
+    private synchronized void writeLine(LineRateLimiter limiter, String level, String text) {
         Instant now = Instant.now();
-        int before = budget.countLine(now.getEpochSecond());
-        if (before < budget.maxPerSecond) {
+        int earlierLines = limiter.countLine(now.getEpochSecond());
+        if (earlierLines < limiter.maxPerSecond) {
             out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " "
                     + text.replace('\n', ' ').replace('\r', ' '));
-        } else if (before == budget.maxPerSecond) {
-            out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " " + budget.exceededText);
+        } else if (earlierLines == limiter.maxPerSecond) {
+            out.println(now.truncatedTo(ChronoUnit.MILLIS) + " " + level + name + " " + limiter.exceededText);
         }
     }
 
@@ -85,15 +85,15 @@
         private long currentSecond;
         private int linesThisSecond;
 
-        LineRateLimiter(int most, String whenSpent) {
-            this.maxPerSecond = most;
-            this.exceededText = whenSpent;
+        LineRateLimiter(int maxPerSecond, String exceededText) {
+            this.maxPerSecond = maxPerSecond;
+            this.exceededText = exceededText;
         }
 
         /** Counts one line and returns how many were counted before it in the same second. */
-        int countLine(long now) {
-            linesThisSecond = now == currentSecond ? linesThisSecond + 1 : 0;
-            currentSecond = now;
+        int countLine(long epochSecond) {
+            linesThisSecond = epochSecond == currentSecond ? linesThisSecond + 1 : 0;
+            currentSecond = epochSecond;
             return linesThisSecond;
         }
     }
--- a/src/main/java/terndyke/node/SlowTurnDetector.java
+++ b/src/main/java/terndyke/node/SlowTurnDetector.java
@@ -27,9 +27,9 @@
     private long lastReportedAt = Long.MIN_VALUE;
 
     /** Both times in microseconds: the duration from which a turn is slow, and the minimum time between two log lines. */
-    public SlowTurnDetector(long slow, long lineEvery, Counters counters) {
-        this.thresholdMicros = slow;
-        this.logIntervalMicros = lineEvery;
+    public SlowTurnDetector(long thresholdMicros, long logIntervalMicros, Counters counters) {
+        this.thresholdMicros = thresholdMicros;
+        this.logIntervalMicros = logIntervalMicros;
         this.counters = counters;
     }
 
@@ -41,54 +41,54 @@
     }
 
     /** Reports how long a request waited for this turn after it was read from its socket. */
-    public void measureQueueWait(long micros) {
+    public void recordQueueWait(long micros) {
         counters.recordMaximum(Counter.LONGEST_WAIT, micros);
     }
 
     /** Ends the phase in which events were handled, with their number. */
-    public void endEventPhase(int many, long now) {
-        eventCount = many;
+    public void endEventPhase(int count, long now) {
+        eventCount = count;
         endPhase(Phase.WORDS, now);
     }
 
     /** Attributes the time since the previous phase ended to the given phase. Outside a turn nothing is measured. */
-    public void endPhase(Phase doing, long now) {
+    public void endPhase(Phase phase, long now) {
         if (turnStartedAt >= 0) {
-            phaseMicros[doing.ordinal()] += now - phaseStartedAt;
+            phaseMicros[phase.ordinal()] += now - phaseStartedAt;
             phaseStartedAt = now;
         }
     }
 
     /** Ends the turn; returns a line for the log, or null. */
     public String endTurn(long now) {
-        long took = now - turnStartedAt;
+        long durationMicros = now - turnStartedAt;
         turnStartedAt = -1;
-        counters.recordMaximum(Counter.LONGEST_TURN, took);
-        if (took >= thresholdMicros) {
+        counters.recordMaximum(Counter.LONGEST_TURN, durationMicros);
+        if (durationMicros >= thresholdMicros) {
             counters.add(Counter.SLOW_TURNS);
             unreportedTurns++;
-            if (took > slowestUnreportedMicros) {
-                slowestUnreportedMicros = took;
-                slowestDescription = describeTurn(took);
+            if (durationMicros > slowestUnreportedMicros) {
+                slowestUnreportedMicros = durationMicros;
+                slowestDescription = describeTurn(durationMicros);
             }
         }
         if (unreportedTurns == 0 || lastReportedAt != Long.MIN_VALUE && now < lastReportedAt + logIntervalMicros) {
             return null;
         }
-        String told = slowestDescription + (unreportedTurns > 1 ? ", the slowest of " + unreportedTurns : "");
+        String line = slowestDescription + (unreportedTurns > 1 ? ", the slowest of " + unreportedTurns : "");
         lastReportedAt = now;
         unreportedTurns = 0;
         slowestUnreportedMicros = 0;
-        return told;
+        return line;
     }
 
-    private String describeTurn(long took) {
-        StringBuilder text = new StringBuilder("slow turn: ").append(took / 1000).append(" ms, ").append(eventCount)
+    private String describeTurn(long durationMicros) {
+        StringBuilder text = new StringBuilder("slow turn: ").append(durationMicros / 1000).append(" ms, ").append(eventCount)
                 .append(" words");
-        for (Phase doing : Phase.values()) {
-            if (phaseMicros[doing.ordinal()] >= 1_000) {
-                text.append(", ").append(doing.name().toLowerCase(Locale.ROOT)).append(' ')
-                        .append(phaseMicros[doing.ordinal()] / 1000).append(" ms");
+        for (Phase phase : Phase.values()) {
+            if (phaseMicros[phase.ordinal()] >= 1_000) {
+                text.append(", ").append(phase.name().toLowerCase(Locale.ROOT)).append(' ')
+                        .append(phaseMicros[phase.ordinal()] / 1000).append(" ms");
             }
         }
         return text.toString();
--- a/src/main/java/terndyke/node/WarmUp.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -31,8 +31,8 @@
     private WarmUp() { }
 
     /** Lets a separate dispatcher accept and deliver synthetic records. */
-    static void warmUpDispatcher(NodeConfiguration charter, long within) {
-        warmUpDispatcher(charter, within, () -> LockSupport.parkNanos(YIELD_NANOS));
+    static void warmUpDispatcher(NodeConfiguration configuration, long timeoutMicros) {
+        warmUpDispatcher(configuration, timeoutMicros, () -> LockSupport.parkNanos(YIELD_NANOS));
     }
 
     /**
@@ -40,28 +40,28 @@
      * longest time for which a node computed without a pause (150 ms of a core), and a hundred nodes on one core blocked
      * all other processes, including watchdogs for hung processes. The pauses lengthen the start by some milliseconds.
      */
-    static void warmUpDispatcher(NodeConfiguration charter, long within, Runnable giveWay) {
-        long until = System.nanoTime() + within * 1000;
-        Dispatcher dispatcher = new Dispatcher(charter.deliverySettings());
+    static void warmUpDispatcher(NodeConfiguration configuration, long timeoutMicros, Runnable pause) {
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1000;
+        Dispatcher dispatcher = new Dispatcher(configuration.deliverySettings());
         List<Event> events = new ArrayList<>();
-        List<ListedEndpoint> list = new ArrayList<>();
+        List<ListedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            list.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
+            endpoints.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
         }
-        events.add(new Event.ListReceived(list, true));
-        for (int i = 1; i <= MAX_ITERATIONS && System.nanoTime() < until; i++) {
+        events.add(new Event.ListReceived(endpoints, true));
+        for (int i = 1; i <= MAX_ITERATIONS && System.nanoTime() < deadlineNanos; i++) {
             if (i % ITERATIONS_PER_YIELD == 0) {
-                giveWay.run();
+                pause.run();
             }
-            events.add(new Event.RecordAccepted(i, i % charter.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0, i % 3,
-                    false, false, false));
+            events.add(new Event.RecordAccepted(i, i % configuration.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0,
+                    i % 3, false, false, false));
             events.add(new Event.TimerExpired(0));
             List<Action> actions = dispatcher.handleEvents(i * 10_000L, events);
             events = new ArrayList<>();
             for (Action action : actions) {
-                if (action instanceof Action.SendShot shoot) {
+                if (action instanceof Action.SendShot sendShot) {
                     Ending ending = i % 5 == 0 ? Ending.FULL : Ending.DONE;
-                    events.add(new Event.ShotEnded(shoot.id(), 0, shoot.endpoint(), ending, 9_000, 0, false,
+                    events.add(new Event.ShotEnded(sendShot.id(), 0, sendShot.endpoint(), ending, 9_000, 0, false,
                             ending == Ending.DONE, NO_REPORT));
                 }
             }
@@ -69,27 +69,29 @@
     }
 
     /** Sends health requests to the node's own listener, which handles them like those of any client. */
-    static void warmUpHttp(NodeConfiguration charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
+    static void warmUpHttp(NodeConfiguration configuration, Reactor reactor, NodeClock clock,
+            InetSocketAddress listenAddress, long timeoutMicros) {
         BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
-        BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
-        ConnectionPool calls = new ConnectionPool(reactor, charter.limits(), new Counters(), clock::now, free::add);
-        ConnectionPool.Peer peer = new ConnectionPool.Peer(self);
+        BlockingQueue<ConnectionPool.PooledConnection> releasedConnections = new LinkedBlockingQueue<>();
+        ConnectionPool connectionPool = new ConnectionPool(reactor, configuration.limits(), new Counters(), clock::now,
+                releasedConnections::add);
+        ConnectionPool.Peer peer = new ConnectionPool.Peer(listenAddress);
         Call call = new Call("GET", "/_health", new String[] {"Host", peer.hostHeader()}, new byte[0]);
-        long until = System.nanoTime() + within * 1000;
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1000;
         try {
-            for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < until; i++) {
-                ConnectionPool.PooledConnection line = calls.startCall(peer, call, clock.now(), results::add);
-                if (line == null || results.poll(within, TimeUnit.MICROSECONDS) == null) {
+            for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < deadlineNanos; i++) {
+                ConnectionPool.PooledConnection connection = connectionPool.startCall(peer, call, clock.now(), results::add);
+                if (connection == null || results.poll(timeoutMicros, TimeUnit.MICROSECONDS) == null) {
                     break;
                 }
-                line = free.poll(within, TimeUnit.MICROSECONDS);
-                if (line != null) {
-                    calls.release(line, clock.now());
+                connection = releasedConnections.poll(timeoutMicros, TimeUnit.MICROSECONDS);
+                if (connection != null) {
+                    connectionPool.release(connection, clock.now());
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        calls.removePeer(peer);
+        connectionPool.removePeer(peer);
     }
 }
--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -14,11 +14,11 @@
     private final RecordStore recordStore;
     private boolean shuttingDown;
 
-    public AdmissionStage(Limits limits, Counters counters, EndpointRegistry catalogue, RecordStore book) {
+    public AdmissionStage(Limits limits, Counters counters, EndpointRegistry endpointRegistry, RecordStore recordStore) {
         this.limits = limits;
         this.counters = counters;
-        this.endpointRegistry = catalogue;
-        this.recordStore = book;
+        this.endpointRegistry = endpointRegistry;
+        this.recordStore = recordStore;
     }
 
     /** From now on no new record is admitted. */
@@ -33,51 +33,51 @@
      * lost, and be overtaken by later records of its key (rules 1 and 5). A client that alters a record between repeats
      * may be refused for it.
      */
-    boolean admit(ClientRequest handover, long now) {
-        TrackedRecord known = recordStore.findById(handover.id());
-        if (known != null) {
+    boolean admit(ClientRequest request, long now) {
+        TrackedRecord knownRecord = recordStore.findById(request.id());
+        if (knownRecord != null) {
             counters.add(Counter.REPEATS);
-            if (known.isSameRecord(handover)) {
-                answerDuplicate(known, handover.responder());
+            if (knownRecord.isSameRecord(request)) {
+                answerDuplicate(knownRecord, request.responder());
             } else { // another record under an id in use: its client may submit it again under an id of its own
-                handover.responder().refused(0);
+                request.responder().refused(0);
             }
-        } else if (!endpointRegistry.hasDestination(handover.destination())) {
+        } else if (!endpointRegistry.hasDestination(request.destination())) {
             counters.add(Counter.MALFORMED);
-            handover.responder().failed(400);
+            request.responder().failed(400);
         } else {
-            Counter why = refusalReason(handover, now);
-            if (why == null) {
+            Counter refusalCounter = refusalReason(request, now);
+            if (refusalCounter == null) {
                 return true;
             }
             counters.add(Counter.REFUSED_AT_DOOR);
-            counters.add(why);
-            handover.responder().refused(0);
+            counters.add(refusalCounter);
+            request.responder().refused(0);
         }
         return false;
     }
 
     /** Why a valid request is refused, or null if it is admitted. */
-    private Counter refusalReason(ClientRequest handover, long now) {
+    private Counter refusalReason(ClientRequest request, long now) {
         if (shuttingDown) {
             return Counter.REFUSED_LEAVING;
         }
-        if (now - handover.receivedAt() > limits.maxAdmissionDelayMicros()) {
+        if (now - request.receivedAt() > limits.maxAdmissionDelayMicros()) {
             return Counter.REFUSED_READ_LATE;
         }
-        return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(handover.body().length)
+        return recordStore.heldOrAdmittedCount() >= limits.maxHeldRecords() || !recordStore.tryReserve(request.body().length)
                 ? Counter.REFUSED_NO_ROOM : null;
     }
 
     /** Answers a repeat of a known record: held or delivered records are not accepted twice, bounced ones may be retried. */
-    private static void answerDuplicate(TrackedRecord known, ClientRequest.Responder answer) {
-        if (known.outcome == null) {
-            answer.taken();
+    private static void answerDuplicate(TrackedRecord knownRecord, ClientRequest.Responder responder) {
+        if (knownRecord.outcome == null) {
+            responder.taken();
         } else {
-            switch (known.outcome) {
-                case DONE -> answer.delivered();
-                case BOUNCED, WITHDRAWN -> answer.refused(known.retryAfterMicros);
-                default -> answer.failed(500);
+            switch (knownRecord.outcome) {
+                case DONE -> responder.delivered();
+                case BOUNCED, WITHDRAWN -> responder.refused(knownRecord.retryAfterMicros);
+                default -> responder.failed(500);
             }
         }
     }
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -40,7 +40,7 @@
     private final NodeLog log;
     private final NodeClock clock;
     private final LinkedBlockingQueue<LoopEvent> eventQueue;
-    private final AtomicInteger queuedRecordCount = new AtomicInteger();
+    private final AtomicInteger queuedRequestCount = new AtomicInteger();
     private final TimerQueue timers = new TimerQueue();
     private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // admitted in this turn, not yet in the journal
     private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // not yet passed to the decision module
@@ -65,35 +65,35 @@
     private volatile boolean stopped; // set by stop(), even while a turn takes too long
     private volatile boolean queueClosed; // requests added from now on may not be polled any more
 
-    public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book,
-            NodeClock clock, Counters counters, NodeLog log) {
-        this(charter, reactor, catalogue, book, clock, counters, log, new LinkedBlockingQueue<>());
+    public DecisionLoop(NodeConfiguration configuration, Reactor reactor, EndpointRegistry endpointRegistry,
+            RecordStore recordStore, NodeClock clock, Counters counters, NodeLog log) {
+        this(configuration, reactor, endpointRegistry, recordStore, clock, counters, log, new LinkedBlockingQueue<>());
     }
 
-    DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book,
-            NodeClock clock, Counters counters, NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
-        this.eventQueue = inbox;
-        this.limits = charter.limits();
+    DecisionLoop(NodeConfiguration configuration, Reactor reactor, EndpointRegistry endpointRegistry, RecordStore recordStore,
+            NodeClock clock, Counters counters, NodeLog log, LinkedBlockingQueue<LoopEvent> eventQueue) {
+        this.eventQueue = eventQueue;
+        this.limits = configuration.limits();
         this.counters = counters;
         this.log = log;
         this.clock = clock;
-        this.recordStore = book;
-        this.endpointRegistry = catalogue;
-        this.keyQuietMicros = charter.deliverySettings().keyQuietPeriod();
-        this.gradeCount = charter.deliverySettings().grades().size();
+        this.recordStore = recordStore;
+        this.endpointRegistry = endpointRegistry;
+        this.keyQuietMicros = configuration.deliverySettings().keyQuietPeriod();
+        this.gradeCount = configuration.deliverySettings().grades().size();
         slowTurnDetector = new SlowTurnDetector(limits.slowTurnThresholdMicros(), limits.slowTurnLogIntervalMicros(), counters);
         connectionPool = new ConnectionPool(reactor, limits, counters, clock::now,
-                line -> post(new LoopEvent.ConnectionReleased(line)));
-        decisionStage = new DecisionStage(new Dispatcher(charter.deliverySettings()));
-        intakeStage = new IntakeStage(book.lastRecordNumber());
-        admissionStage = new AdmissionStage(limits, counters, catalogue, book);
-        sendStage = new SendStage(limits, counters, catalogue, connectionPool, decisionStage, book, timers,
-                charter.reportFields(), log, this);
-        notificationStage = new NotificationStage(limits, counters, charter.discoveryAddress(), connectionPool, decisionStage,
-                book, timers, log, this);
-        watch = new Watch(limits, charter.discoveryAddress(), catalogue, connectionPool, log,
-                charter.deliverySettings().listOnRequest(), new Random(charter.deliverySettings().seed()),
-                (round, result) -> post(new LoopEvent.WatchCompleted(round, result)));
+                connection -> post(new LoopEvent.ConnectionReleased(connection)));
+        decisionStage = new DecisionStage(new Dispatcher(configuration.deliverySettings()));
+        intakeStage = new IntakeStage(recordStore.lastRecordNumber());
+        admissionStage = new AdmissionStage(limits, counters, endpointRegistry, recordStore);
+        sendStage = new SendStage(limits, counters, endpointRegistry, connectionPool, decisionStage, recordStore, timers,
+                configuration.reportFields(), log, this);
+        notificationStage = new NotificationStage(limits, counters, configuration.discoveryAddress(), connectionPool,
+                decisionStage, recordStore, timers, log, this);
+        watch = new Watch(limits, configuration.discoveryAddress(), endpointRegistry, connectionPool, log,
+                configuration.deliverySettings().listOnRequest(), new Random(configuration.deliverySettings().seed()),
+                (callNumber, result) -> post(new LoopEvent.WatchCompleted(callNumber, result)));
     }
 
     public long now() {
@@ -105,14 +105,14 @@
      * request that arrives while the loop is ending is either handled by its final drain of the queue or removed here, so
      * that it is answered exactly once.
      */
-    public boolean offerRequest(ClientRequest handover) {
-        if (finished || stopped || queuedRecordCount.get() >= limits.requestQueueCapacity()) {
+    public boolean offerRequest(ClientRequest request) {
+        if (finished || stopped || queuedRequestCount.get() >= limits.requestQueueCapacity()) {
             return false;
         }
-        LoopEvent word = new LoopEvent.RequestReceived(handover);
-        queuedRecordCount.incrementAndGet();
-        eventQueue.add(word);
-        return !queueClosed || !eventQueue.remove(word);
+        LoopEvent event = new LoopEvent.RequestReceived(request);
+        queuedRequestCount.incrementAndGet();
+        eventQueue.add(event);
+        return !queueClosed || !eventQueue.remove(event);
     }
 
     /** Accepts no more requests and runs no further turn, even if the current turn takes long. */
@@ -129,8 +129,8 @@
     }
 
     /** Queues an event from any thread. The number of calls and probes in flight limits how many events can be queued. */
-    public void post(LoopEvent word) {
-        eventQueue.add(word);
+    public void post(LoopEvent event) {
+        eventQueue.add(event);
     }
 
     /**
@@ -138,18 +138,18 @@
      * list may be out of date, and whatever discovery publishes counts as known to the node: the first turn of the
      * decision module waits until discovery has been asked.
      */
-    public void restore(Event.ListReceived known, Collection<TrackedRecord> records) {
-        decisionStage.addEvent(known);
-        for (TrackedRecord owed : List.copyOf(records)) {
-            counters.add(Counter.RESTORED, owed.noticeSettled ? 0 : 1);
-            if (owed.entry.grade() >= gradeCount) {
+    public void restore(Event.ListReceived knownList, Collection<TrackedRecord> records) {
+        decisionStage.addEvent(knownList);
+        for (TrackedRecord record : List.copyOf(records)) {
+            counters.add(Counter.RESTORED, record.noticeSettled ? 0 : 1);
+            if (record.entry.grade() >= gradeCount) {
                 log.warn("journal: record has an unknown service grade, terminated without delivery");
-                notificationStage.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
+                notificationStage.endRecord(record, JournalEntry.RecordOutcome.TERMINATED, 0);
                 continue;
             }
-            recoveredRecords.add(owed);
-            if (!owed.isOpen()) {
-                notificationStage.restore(owed);
+            recoveredRecords.add(record);
+            if (!record.isOpen()) {
+                notificationStage.restore(record);
             }
         }
         notificationStage.sendPendingNotices(now());
@@ -163,9 +163,9 @@
         if (isDiscoveryResolved() || !watch.hasCompletedFirstCall()) {
             return;
         }
-        recoveredRecords.forEach(owed -> sendStage.restore(owed, now));
+        recoveredRecords.forEach(record -> sendStage.restore(record, now));
         recoveredRecords.clear();
-        deferredRequests.forEach(handover -> handleClientRequest(handover, now));
+        deferredRequests.forEach(request -> handleClientRequest(request, now));
         deferredRequests.clear();
         discoveryResolved.countDown();
     }
@@ -191,45 +191,45 @@
      */
     private void refuseRemaining() {
         refuseNewRecords();
-        deferredRequests.forEach(handover -> handover.responder().refused(0));
+        deferredRequests.forEach(request -> request.responder().refused(0));
         try {
-            for (LoopEvent word = eventQueue.poll(); word != null;
-                    word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
-                handleAtShutdown(word);
+            for (LoopEvent event = eventQueue.poll(); event != null;
+                    event = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
+                handleAtShutdown(event);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         queueClosed = true;
-        for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll()) {
-            handleAtShutdown(word);
+        for (LoopEvent event = eventQueue.poll(); event != null; event = eventQueue.poll()) {
+            handleAtShutdown(event);
         }
         connectionPool.close();
     }
 
-    private void handleAtShutdown(LoopEvent word) {
-        if (word instanceof LoopEvent.RequestReceived handed) {
+    private void handleAtShutdown(LoopEvent event) {
+        if (event instanceof LoopEvent.RequestReceived requestReceived) {
             counters.add(Counter.REFUSED_AT_DOOR);
-            handed.clientRequest().responder().refused(0);
-        } else if (word instanceof LoopEvent.ShotCompleted shot) {
-            sendStage.handleResult(shot);
+            requestReceived.clientRequest().responder().refused(0);
+        } else if (event instanceof LoopEvent.ShotCompleted shotCompleted) {
+            sendStage.handleResult(shotCompleted);
         }
     }
 
     private void runTurn() throws InterruptedException {
         long now = now();
-        long next = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
+        long wakeUpAt = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
         beginOnceDiscoveryResolved(now);
-        LoopEvent word = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0
-                : Math.max(0, next - now), TimeUnit.MICROSECONDS);
+        LoopEvent event = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0
+                : Math.max(0, wakeUpAt - now), TimeUnit.MICROSECONDS);
         now = now();
         slowTurnDetector.beginTurn(now);
-        int words = 0;
-        while (word != null) {
-            handleEvent(word, now);
-            word = words++ < limits.maxEventsPerTurn() ? eventQueue.poll() : null;
+        int eventCount = 0;
+        while (event != null) {
+            handleEvent(event, now);
+            event = eventCount++ < limits.maxEventsPerTurn() ? eventQueue.poll() : null;
         }
-        slowTurnDetector.endEventPhase(words, now());
+        slowTurnDetector.endEventPhase(eventCount, now());
         timers.runDue(now);
         slowTurnDetector.endPhase(Phase.TIMERS, now());
         watch.runDueActions(now);
@@ -251,9 +251,9 @@
             recordStore.compactIfNeeded();
             slowTurnDetector.endPhase(Phase.SWEEP, now());
         }
-        String slow = slowTurnDetector.endTurn(now());
-        if (slow != null) {
-            log.warn(slow);
+        String slowTurnReport = slowTurnDetector.endTurn(now());
+        if (slowTurnReport != null) {
+            log.warn(slowTurnReport);
         }
         // even with no record held the loop goes on for a minimum time: clients that do not know of the shutdown yet still
         // send requests, which must be answered
@@ -262,40 +262,40 @@
                 && now >= shutdownDeadline - limits.shutdownGracePeriodMicros() + limits.minShutdownMicros();
     }
 
-    private void handleEvent(LoopEvent word, long now) {
-        if (word instanceof LoopEvent.RequestReceived handed) {
-            queuedRecordCount.decrementAndGet();
-            slowTurnDetector.measureQueueWait(now - handed.clientRequest().receivedAt());
+    private void handleEvent(LoopEvent event, long now) {
+        if (event instanceof LoopEvent.RequestReceived requestReceived) {
+            queuedRequestCount.decrementAndGet();
+            slowTurnDetector.recordQueueWait(now - requestReceived.clientRequest().receivedAt());
             if (isDiscoveryResolved()) {
-                handleClientRequest(handed.clientRequest(), now);
+                handleClientRequest(requestReceived.clientRequest(), now);
             } else if (deferredRequests.size() < limits.requestQueueCapacity()) {
-                deferredRequests.add(handed.clientRequest());
+                deferredRequests.add(requestReceived.clientRequest());
             } else {
                 counters.add(Counter.REFUSED_AT_DOOR);
-                handed.clientRequest().responder().refused(0);
+                requestReceived.clientRequest().responder().refused(0);
             }
-        } else if (word instanceof LoopEvent.ShotCompleted shot) {
-            sendStage.handleResult(shot);
-        } else if (word instanceof LoopEvent.ConnectionReleased free) {
-            connectionPool.release(free.connection(), now);
-        } else if (word instanceof LoopEvent.ProbeCompleted probe) {
-            sendStage.handleResult(probe);
-        } else if (word instanceof LoopEvent.NoticeCallCompleted noticed) {
-            notificationStage.handleNoticeResult(noticed, now);
-        } else if (word instanceof LoopEvent.WatchCompleted watched) {
-            Event told = watch.handleResult(watched.callNumber(), watched.result(), now);
-            if (told != null) {
+        } else if (event instanceof LoopEvent.ShotCompleted shotCompleted) {
+            sendStage.handleResult(shotCompleted);
+        } else if (event instanceof LoopEvent.ConnectionReleased connectionReleased) {
+            connectionPool.release(connectionReleased.connection(), now);
+        } else if (event instanceof LoopEvent.ProbeCompleted probeCompleted) {
+            sendStage.handleResult(probeCompleted);
+        } else if (event instanceof LoopEvent.NoticeCallCompleted noticeCallCompleted) {
+            notificationStage.handleNoticeResult(noticeCallCompleted, now);
+        } else if (event instanceof LoopEvent.WatchCompleted watchCompleted) {
+            Event listEvent = watch.handleResult(watchCompleted.callNumber(), watchCompleted.result(), now);
+            if (listEvent != null) {
                 counters.add(Counter.LISTS_TOLD);
-                log.trace(now, "list", ((Event.ListReceived) told).entries().size());
-                decisionStage.addEvent(told);
+                log.trace(now, "list", ((Event.ListReceived) listEvent).entries().size());
+                decisionStage.addEvent(listEvent);
                 endpointRegistry.pollRemovedPeers().forEach(connectionPool::removePeer);
             }
-        } else if (word instanceof LoopEvent.DiscoveryAddressChanged moved) {
-            watch.changeDiscoveryAddress(moved.address());
-            notificationStage.changePlatformAddress(moved.address());
-        } else if (word instanceof LoopEvent.ClientDisconnected left) {
-            handleClientDisconnect(left.clientRequest(), now);
-        } else if (word instanceof LoopEvent.ShutdownRequested) {
+        } else if (event instanceof LoopEvent.DiscoveryAddressChanged addressChanged) {
+            watch.changeDiscoveryAddress(addressChanged.address());
+            notificationStage.changePlatformAddress(addressChanged.address());
+        } else if (event instanceof LoopEvent.ClientDisconnected clientDisconnected) {
+            handleClientDisconnect(clientDisconnected.clientRequest(), now);
+        } else if (event instanceof LoopEvent.ShutdownRequested) {
             shutdownDeadline = now + limits.shutdownGracePeriodMicros();
             admissionStage.beginShutdown();
             decisionStage.addEvent(new Event.NodeShuttingDown(limits.shutdownGracePeriodMicros()));
@@ -308,28 +308,28 @@
      * second request is refused, as it would be if the first record were in the journal. If the two requests differ, it is
      * unknown which client owns the id; since neither has been accepted yet, both are refused.
      */
-    private void handleClientRequest(ClientRequest handover, long now) {
-        TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst()
+    private void handleClientRequest(ClientRequest request, long now) {
+        TrackedRecord earlier = newRecords.values().stream().filter(record -> record.entry.id().equals(request.id())).findFirst()
                 .orElse(null);
-        if (same != null) {
+        if (earlier != null) {
             counters.add(Counter.REPEATS);
-            handover.responder().refused(0);
-            if (!same.isSameRecord(handover)) {
-                newRecords.remove(same.entry.number());
-                notificationStage.answerRefused(same, 0);
-                decisionStage.addEvent(new Event.RecordWithdrawn(same.entry.number()));
+            request.responder().refused(0);
+            if (!earlier.isSameRecord(request)) {
+                newRecords.remove(earlier.entry.number());
+                notificationStage.answerRefused(earlier, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(earlier.entry.number()));
             }
-        } else if (admissionStage.admit(handover, now)) {
-            TrackedRecord owed = intakeStage.createRecord(handover);
-            newRecords.put(owed.entry.number(), owed);
-            decisionStage.addEvent(toEvent(owed, now));
+        } else if (admissionStage.admit(request, now)) {
+            TrackedRecord record = intakeStage.createRecord(request);
+            newRecords.put(record.entry.number(), record);
+            decisionStage.addEvent(toEvent(record, now));
         }
     }
 
-    static Event.RecordAccepted toEvent(TrackedRecord owed, long now) {
-        JournalEntry.RecordAccepted taken = owed.entry;
-        return new Event.RecordAccepted(taken.number(), taken.grade(), taken.tenant(), taken.key(),
-                taken.abandonAt() - now, 0, taken.destination(), owed.clientRetry, false, owed.fromDeadNode);
+    static Event.RecordAccepted toEvent(TrackedRecord record, long now) {
+        JournalEntry.RecordAccepted accepted = record.entry;
+        return new Event.RecordAccepted(accepted.number(), accepted.grade(), accepted.tenant(), accepted.key(),
+                accepted.abandonAt() - now, 0, accepted.destination(), record.clientRetry, false, record.fromDeadNode);
     }
 
     /**
@@ -337,19 +337,19 @@
      * another id. Only the record that this client itself submitted is withdrawn: a client that repeated another one's id
      * leaves that record as it is.
      */
-    private void handleClientDisconnect(ClientRequest handover, long now) {
-        TrackedRecord owed = recordStore.findById(handover.id());
-        for (TrackedRecord taken : List.copyOf(newRecords.values())) {
-            if (taken.responder == handover.responder()) {
-                newRecords.remove(taken.entry.number());
-                decisionStage.addEvent(new Event.RecordWithdrawn(taken.entry.number()));
+    private void handleClientDisconnect(ClientRequest request, long now) {
+        TrackedRecord record = recordStore.findById(request.id());
+        for (TrackedRecord newRecord : List.copyOf(newRecords.values())) {
+            if (newRecord.responder == request.responder()) {
+                newRecords.remove(newRecord.entry.number());
+                decisionStage.addEvent(new Event.RecordWithdrawn(newRecord.entry.number()));
             }
         }
-        if (owed != null && owed.isOpen() && owed.entry.acceptedAt() == handover.receivedAt()) {
+        if (record != null && record.isOpen() && record.entry.acceptedAt() == request.receivedAt()) {
             counters.add(Counter.WITHDRAWN);
-            log.infoAboutRecord("message " + handover.id() + " withdrawn: client disconnected before its answer");
-            recordStore.endRecord(owed, JournalEntry.RecordOutcome.WITHDRAWN, 0);
-            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+            log.infoAboutRecord("message " + request.id() + " withdrawn: client disconnected before its answer");
+            recordStore.endRecord(record, JournalEntry.RecordOutcome.WITHDRAWN, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
         }
     }
 
@@ -380,12 +380,12 @@
                 notificationStage.answerFailed(newRecords.remove(terminate.id()));
             }
         }
-        for (TrackedRecord owed : newRecords.values()) {
-            if (recordStore.tryAdd(owed)) {
-                notificationStage.answerTaken(owed);
+        for (TrackedRecord record : newRecords.values()) {
+            if (recordStore.tryAdd(record)) {
+                notificationStage.answerAccepted(record);
             } else {
-                notificationStage.answerRefused(owed, 0);
-                decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+                notificationStage.answerRefused(record, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
             }
         }
         newRecords.clear();
@@ -394,17 +394,17 @@
 
     /** Refuses the new records of a turn that failed. They are not in the journal, so the node owes them nothing. */
     private void refuseNewRecords() {
-        for (TrackedRecord owed : newRecords.values()) {
-            notificationStage.answerRefused(owed, 0);
-            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+        for (TrackedRecord record : newRecords.values()) {
+            notificationStage.answerRefused(record, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
         }
         newRecords.clear();
         recordStore.clearReservations();
     }
 
     private void performAction(Action action, long now) {
-        if (action instanceof Action.SendShot shoot) {
-            sendStage.sendShot(recordStore.findByNumber(shoot.id()), shoot, now);
+        if (action instanceof Action.SendShot sendShot) {
+            sendStage.sendShot(recordStore.findByNumber(sendShot.id()), sendShot, now);
         } else if (action instanceof Action.Recall recall && recordStore.findByNumber(recall.id()) != null) {
             sendStage.recallShot(recordStore.findByNumber(recall.id()), recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce && recordStore.findByNumber(bounce.id()) != null) {
@@ -412,18 +412,18 @@
                     bounce.retryAfter());
         } else if (action instanceof Action.Terminate terminate && recordStore.findByNumber(terminate.id()) != null) {
             notificationStage.endRecord(recordStore.findByNumber(terminate.id()), JournalEntry.RecordOutcome.TERMINATED, 0);
-        } else if (action instanceof Action.StartTimer wake) {
-            timers.schedule(now + wake.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(wake.token())));
+        } else if (action instanceof Action.StartTimer startTimer) {
+            timers.schedule(now + startTimer.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(startTimer.token())));
         } else if (action instanceof Action.Probe probe) {
             sendStage.startProbe(probe.endpoint(), now);
-        } else if (action instanceof Action.CancelUnsentCalls withhold) {
-            sendStage.withhold(withhold.endpoint());
+        } else if (action instanceof Action.CancelUnsentCalls cancelCalls) {
+            sendStage.cancelUnsentCalls(cancelCalls.endpoint());
         } else if (action instanceof Action.SetListSubscription) {
             watch.requestList(now);
-        } else if (action instanceof Action.CloseIdleConnections drop) {
-            sendStage.closeIdleConnections(drop.endpoint());
-        } else if (action instanceof Action.Log line) {
-            log.info(line.text());
+        } else if (action instanceof Action.CloseIdleConnections closeIdle) {
+            sendStage.closeIdleConnections(closeIdle.endpoint());
+        } else if (action instanceof Action.Log logLine) {
+            log.info(logLine.text());
         }
     }
 }
--- a/src/main/java/terndyke/node/stage/DecisionStage.java
+++ b/src/main/java/terndyke/node/stage/DecisionStage.java
@@ -25,8 +25,8 @@
     }
 
     List<Action> runTurn(long now) {
-        List<Event> told = pendingEvents;
+        List<Event> events = pendingEvents;
         pendingEvents = new ArrayList<>();
-        return dispatcher.handleEvents(now, told);
+        return dispatcher.handleEvents(now, events);
     }
 }
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -8,14 +8,14 @@
     private long lastRecordNumber;
 
     /** Numbering continues after the last number in the journal. */
-    public IntakeStage(long lastNumber) {
-        this.lastRecordNumber = lastNumber;
+    public IntakeStage(long lastRecordNumber) {
+        this.lastRecordNumber = lastRecordNumber;
     }
 
-    TrackedRecord createRecord(ClientRequest handover) {
-        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, handover.id(), handover.grade(),
-                handover.tenant(), handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
-                handover.receivedAt() + handover.timeoutMicros(), handover.body()), handover.clientRetry(),
-                handover.fromDeadNode(), handover.responder());
+    TrackedRecord createRecord(ClientRequest request) {
+        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, request.id(), request.grade(),
+                request.tenant(), request.key(), request.destination(), request.idempotencyKey(), request.receivedAt(),
+                request.receivedAt() + request.timeoutMicros(), request.body()), request.clientRetry(),
+                request.fromDeadNode(), request.responder());
     }
 }
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -38,83 +38,83 @@
     private ConnectionPool.PooledConnection connection;
     private long retryAt;
 
-    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, ConnectionPool calls,
-            DecisionStage route, RecordStore book, TimerQueue timers, NodeLog log, DecisionLoop desk) {
+    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platformAddress, ConnectionPool connectionPool,
+            DecisionStage decisionStage, RecordStore recordStore, TimerQueue timers, NodeLog log, DecisionLoop decisionLoop) {
         this.limits = limits;
         this.counters = counters;
-        this.platform = ConnectionPool.Peer.forPlatform(platform);
-        this.connectionPool = calls;
-        this.decisionStage = route;
-        this.recordStore = book;
+        this.platform = ConnectionPool.Peer.forPlatform(platformAddress);
+        this.connectionPool = connectionPool;
+        this.decisionStage = decisionStage;
+        this.recordStore = recordStore;
         this.timers = timers;
         this.log = log;
-        this.decisionLoop = desk;
+        this.decisionLoop = decisionLoop;
     }
 
     /** Tells the client that its record is accepted; it is in the journal. */
-    void answerTaken(TrackedRecord owed) {
+    void answerAccepted(TrackedRecord record) {
         counters.add(Counter.TAKEN);
-        trace("taken", owed);
-        removeResponder(owed).taken();
+        trace("taken", record);
+        removeResponder(record).taken();
     }
 
     /** Tells the client that its record is refused, and after which time in microseconds it may try again (0: not stated). */
-    void answerRefused(TrackedRecord owed, long after) {
+    void answerRefused(TrackedRecord record, long retryAfterMicros) {
         counters.add(Counter.BOUNCED_AT_ONCE);
-        trace("refused", owed);
-        removeResponder(owed).refused(after);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+        trace("refused", record);
+        removeResponder(record).refused(retryAfterMicros);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 
     /** Tells the client that its record was terminated in the turn in which it was admitted. */
-    void answerFailed(TrackedRecord owed) {
-        trace("failed", owed);
-        removeResponder(owed).failed(500);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    void answerFailed(TrackedRecord record) {
+        trace("failed", record);
+        removeResponder(record).failed(500);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 
-    private static ClientRequest.Responder removeResponder(TrackedRecord owed) {
-        ClientRequest.Responder answer = owed.responder;
-        owed.responder = null;
-        return answer;
+    private static ClientRequest.Responder removeResponder(TrackedRecord record) {
+        ClientRequest.Responder responder = record.responder;
+        record.responder = null;
+        return responder;
     }
 
     /** Journals the end of an accepted record and queues the notice to the platform. */
-    void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
-        if (owed.outcome == null) {
-            recordStore.endRecord(owed, end, wait);
-            counters.add(end == JournalEntry.RecordOutcome.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
-            owed.endedAt = decisionLoop.now();
-            pendingNotices.add(owed);
-            trace(end == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", owed);
-            if (end != JournalEntry.RecordOutcome.BOUNCED || !owed.shots.isEmpty()) {
-                log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
-                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its abandon time, attempts: "
-                        + describeShots(owed));
+    void endRecord(TrackedRecord record, JournalEntry.RecordOutcome outcome, long retryAfterMicros) {
+        if (record.outcome == null) {
+            recordStore.endRecord(record, outcome, retryAfterMicros);
+            counters.add(outcome == JournalEntry.RecordOutcome.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
+            record.endedAt = decisionLoop.now();
+            pendingNotices.add(record);
+            trace(outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", record);
+            if (outcome != JournalEntry.RecordOutcome.BOUNCED || !record.shots.isEmpty()) {
+                log.infoAboutRecord("message " + record.entry.id() + " ended " + outcome + ", "
+                        + (record.entry.abandonAt() - record.endedAt) / 1000 + " ms before its abandon time, attempts: "
+                        + describeShots(record));
             }
         }
     }
 
-    private static String describeShots(TrackedRecord owed) {
-        return owed.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "in flight" : shot.ending))
+    private static String describeShots(TrackedRecord record) {
+        return record.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "in flight" : shot.ending))
                 .collect(Collectors.joining(", "));
     }
 
-    private void trace(String verb, TrackedRecord owed) {
+    private void trace(String verb, TrackedRecord record) {
         if (log.isTracing()) {
-            JournalEntry.RecordAccepted taken = owed.entry;
-            log.trace(decisionLoop.now(), verb, taken.number(), taken.id(), taken.grade(), taken.destination(),
-                    taken.abandonAt() - decisionLoop.now(), owed.shots.size());
+            JournalEntry.RecordAccepted accepted = record.entry;
+            log.trace(decisionLoop.now(), verb, accepted.number(), accepted.id(), accepted.grade(), accepted.destination(),
+                    accepted.abandonAt() - decisionLoop.now(), record.shots.size());
         }
     }
 
     /** For an ended record of the previous run: queues its notice again, or reports that the notice was answered. */
-    void restore(TrackedRecord owed) {
-        if (owed.noticeSettled) {
-            decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    void restore(TrackedRecord record) {
+        if (record.noticeSettled) {
+            decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
         } else {
-            owed.endedAt = decisionLoop.now();
-            pendingNotices.add(owed);
+            record.endedAt = decisionLoop.now();
+            pendingNotices.add(record);
         }
     }
 
@@ -137,9 +137,9 @@
         byte[] body = lines.toString().getBytes(StandardCharsets.UTF_8);
         Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.hostHeader(),
             "Content-Type", "application/json", "Content-Length", Integer.toString(body.length)}, body);
-        long sent = ++callNumber;
+        long sentCallNumber = ++callNumber;
         connection = connectionPool.startCall(platform, call, now,
-                result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
+                result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sentCallNumber, batch, result)));
         callInFlight = connection != null;
         counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
         if (!callInFlight) {
@@ -147,7 +147,7 @@
             return;
         }
         timers.schedule(now + callTimeout(), () -> {
-            if (callInFlight && callNumber == sent) {
+            if (callInFlight && callNumber == sentCallNumber) {
                 connectionPool.cancelCall(connection);
                 handleCallFailure("no answer in time", decisionLoop.now(), 0);
             }
@@ -170,15 +170,16 @@
     }
 
     /** Takes the first records whose notices fit into the given bytes: at least one, at most the given number. */
-    static List<TrackedRecord> nextBatch(Collection<TrackedRecord> owing, int most, int bytes, StringBuilder lines) {
+    static List<TrackedRecord> nextBatch(Collection<TrackedRecord> pendingRecords, int maxNotices, int maxBytes,
+            StringBuilder lines) {
         List<TrackedRecord> batch = new ArrayList<>();
-        for (TrackedRecord owed : owing) {
-            String line = formatNotice(owed) + "\n";
-            if (!batch.isEmpty() && (batch.size() == most || lines.length() + line.length() > bytes)) {
+        for (TrackedRecord record : pendingRecords) {
+            String line = formatNotice(record) + "\n";
+            if (!batch.isEmpty() && (batch.size() == maxNotices || lines.length() + line.length() > maxBytes)) {
                 break;
             }
             lines.append(line);
-            batch.add(owed);
+            batch.add(record);
         }
         return batch;
     }
@@ -202,22 +203,22 @@
      * Schedules the next call and closes the idle connections, so that it opens a new one: a kept connection that lost a
      * call would lose the next one too.
      */
-    private void handleCallFailure(String why, long now, long rest) {
+    private void handleCallFailure(String reason, long now, long delayMicros) {
         counters.add(Counter.NOTICES_UNANSWERED);
         if (consecutiveFailures++ == 0) {
             log.warn("notices unanswered: " + pendingNotices.size() + " pending, first "
-                    + pendingNotices.iterator().next().entry.id() + ", " + why);
+                    + pendingNotices.iterator().next().entry.id() + ", " + reason);
         }
         connectionPool.closeIdle(platform);
         callInFlight = false;
         callNumber++;
-        retryAt = now + rest;
+        retryAt = now + delayMicros;
         timers.schedule(retryAt, () -> { });
     }
 
-    static String formatNotice(TrackedRecord owed) {
+    static String formatNotice(TrackedRecord record) {
         StringBuilder line = new StringBuilder("{\"ref\":\"");
-        for (char c : owed.entry.id().toCharArray()) {
+        for (char c : record.entry.id().toCharArray()) {
             if (c == '"' || c == '\\') {
                 line.append('\\').append(c);
             } else if (c < ' ') {
@@ -226,48 +227,48 @@
                 line.append(c);
             }
         }
-        line.append("\",\"result\":\"").append(owed.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead")
+        line.append("\",\"result\":\"").append(record.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead")
                 .append('"');
-        if (owed.outcome == JournalEntry.RecordOutcome.BOUNCED && owed.retryAfterMicros > 0) {
-            line.append(",\"wait_ms\":").append(owed.retryAfterMicros / 1000);
+        if (record.outcome == JournalEntry.RecordOutcome.BOUNCED && record.retryAfterMicros > 0) {
+            line.append(",\"wait_ms\":").append(record.retryAfterMicros / 1000);
         }
         return line.append('}').toString();
     }
 
     /** Handles the platform's answer to a call with notices. */
-    void handleNoticeResult(LoopEvent.NoticeCallCompleted noticed, long now) {
-        if (!callInFlight || noticed.callNumber() != callNumber) {
+    void handleNoticeResult(LoopEvent.NoticeCallCompleted completed, long now) {
+        if (!callInFlight || completed.callNumber() != callNumber) {
             return;
         }
         callInFlight = false;
-        int status = noticed.result().status();
+        int status = completed.result().status();
         if (status == 204 || status == 200) {
-            noticed.records().forEach(this::settleNotice);
+            completed.records().forEach(this::settleNotice);
             maxBatchSize = Integer.MAX_VALUE;
             if (consecutiveFailures > 0) {
                 consecutiveFailures = 0;
                 log.info("notices answered again, " + pendingNotices.size() + " pending");
             }
-        } else if (status == 400 && noticed.records().size() == 1) {
-            log.warn("notice rejected by the platform with status 400, dropped: " + formatNotice(noticed.records().get(0)));
-            noticed.records().forEach(this::settleNotice);
+        } else if (status == 400 && completed.records().size() == 1) {
+            log.warn("notice rejected by the platform with status 400, dropped: " + formatNotice(completed.records().get(0)));
+            completed.records().forEach(this::settleNotice);
         } else {
-            maxBatchSize = status == 400 ? Math.max(1, noticed.records().size() / 2) : maxBatchSize;
+            maxBatchSize = status == 400 ? Math.max(1, completed.records().size() / 2) : maxBatchSize;
             handleCallFailure("status " + status, now, retryDelay());
         }
     }
 
-    private void settleNotice(TrackedRecord owed) {
+    private void settleNotice(TrackedRecord record) {
         long now = decisionLoop.now();
         counters.add(Counter.NOTICES_ANSWERED);
-        counters.recordMaximum(Counter.LONGEST_NOTICE, now - owed.endedAt);
-        if (now - owed.endedAt > limits.noticeDeadlineMicros()) {
+        counters.recordMaximum(Counter.LONGEST_NOTICE, now - record.endedAt);
+        if (now - record.endedAt > limits.noticeDeadlineMicros()) {
             counters.add(Counter.NOTICES_LATE);
-            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000
+            log.infoAboutRecord("notice of " + record.entry.id() + " answered " + (now - record.endedAt) / 1000
                     + " ms after the message ended");
         }
-        pendingNotices.remove(owed);
-        recordStore.settleNotice(owed);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+        pendingNotices.remove(record);
+        recordStore.settleNotice(record);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 }
--- a/src/main/java/terndyke/node/stage/RecordStore.java
+++ b/src/main/java/terndyke/node/stage/RecordStore.java
@@ -49,20 +49,21 @@
     /** Rebuilds the records from the journal entries of previous runs; returns them in the order of their acceptance. */
     public Collection<TrackedRecord> restore(List<JournalEntry> entries) {
         for (JournalEntry entry : entries) {
-            TrackedRecord owed = recordsByNumber.get(entry.number());
-            if (entry instanceof JournalEntry.RecordAccepted taken && owed == null) {
-                index(new TrackedRecord(taken, false, false, null));
-            } else if (owed == null) {
+            TrackedRecord record = recordsByNumber.get(entry.number());
+            if (entry instanceof JournalEntry.RecordAccepted accepted && record == null) {
+                index(new TrackedRecord(accepted, false, false, null));
+            } else if (record == null) {
                 log.warn("journal: " + entry.getClass().getSimpleName() + " refers to a record that is not in the journal");
-            } else if (entry instanceof JournalEntry.ShotFired fired) {
-                owed.shots.add(new TrackedRecord.Shot(fired.shot(), -1, fired.endpointUid(), fired.zone(), fired.firedAt()));
-            } else if (entry instanceof JournalEntry.ShotEnded shotOver) {
-                owed.shots.stream().filter(shot -> shot.number == shotOver.shot())
-                        .forEach(shot -> shot.ending = shotOver.ending());
-            } else if (entry instanceof JournalEntry.RecordEnded ended && owed.outcome == null) {
-                applyEnd(owed, ended.outcome(), ended.retryAfter());
+            } else if (entry instanceof JournalEntry.ShotFired shotFired) {
+                record.shots.add(new TrackedRecord.Shot(shotFired.shot(), -1, shotFired.endpointUid(), shotFired.zone(),
+                        shotFired.firedAt()));
+            } else if (entry instanceof JournalEntry.ShotEnded shotEnded) {
+                record.shots.stream().filter(shot -> shot.number == shotEnded.shot())
+                        .forEach(shot -> shot.ending = shotEnded.ending());
+            } else if (entry instanceof JournalEntry.RecordEnded recordEnded && record.outcome == null) {
+                applyEnd(record, recordEnded.outcome(), recordEnded.retryAfter());
             } else if (entry instanceof JournalEntry.NoticeAnswered) {
-                owed.noticeSettled = true;
+                record.noticeSettled = true;
             }
         }
         return recordsByNumber.values();
@@ -86,20 +87,22 @@
     }
 
     /** Reserves space for one more record and all journal entries that it may need; false if there is not enough. */
-    boolean tryReserve(int body) {
-        long then = liveBytes + reservedBytes + body + ENTRY_OVERHEAD_BYTES;
-        boolean room = !journalFailing && then < limits.maxJournalBytes() * 2 / 5 && then < limits.maxHeldBytes();
-        if (room && journal.remainingBytes(then) < limits.journalReserveBytes() && journal.remainingBytes(liveBytes) >= 0) {
+    boolean tryReserve(int bodyBytes) {
+        long liveBytesAfter = liveBytes + reservedBytes + bodyBytes + ENTRY_OVERHEAD_BYTES;
+        boolean hasRoom = !journalFailing && liveBytesAfter < limits.maxJournalBytes() * 2 / 5
+                && liveBytesAfter < limits.maxHeldBytes();
+        if (hasRoom && journal.remainingBytes(liveBytesAfter) < limits.journalReserveBytes()
+                && journal.remainingBytes(liveBytes) >= 0) {
             compact();
         }
-        room = room && journal.remainingBytes(then) >= limits.journalReserveBytes();
-        if (room) {
-            reservedBytes += body + ENTRY_OVERHEAD_BYTES;
+        hasRoom = hasRoom && journal.remainingBytes(liveBytesAfter) >= limits.journalReserveBytes();
+        if (hasRoom) {
+            reservedBytes += bodyBytes + ENTRY_OVERHEAD_BYTES;
             admittedCount++;
         } else {
             counters.add(Counter.JOURNAL_REFUSALS);
         }
-        return room;
+        return hasRoom;
     }
 
     /** Releases the reservations: every record admitted in this turn has been journalled or refused. */
@@ -109,70 +112,70 @@
     }
 
     /** Journals an accepted record; false if the entry could not be written, so that the record must be refused. */
-    boolean tryAdd(TrackedRecord owed) {
-        if (!appendEntry(owed.entry, limits.journalReserveBytes())) {
+    boolean tryAdd(TrackedRecord record) {
+        if (!appendEntry(record.entry, limits.journalReserveBytes())) {
             return false;
         }
-        index(owed);
+        index(record);
         return true;
     }
 
-    private void index(TrackedRecord owed) {
-        recordsByNumber.put(owed.entry.number(), owed);
-        recordsById.put(owed.entry.id(), owed);
+    private void index(TrackedRecord record) {
+        recordsByNumber.put(record.entry.number(), record);
+        recordsById.put(record.entry.id(), record);
         heldCount++;
-        liveBytes += owed.entry.body().length + ENTRY_OVERHEAD_BYTES;
+        liveBytes += record.entry.body().length + ENTRY_OVERHEAD_BYTES;
     }
 
     /** Journals a shot before its first byte is sent; false if the entry could not be written. */
-    boolean journalShot(TrackedRecord owed, TrackedRecord.Shot shot) {
-        return appendEntry(new JournalEntry.ShotFired(owed.entry.number(), shot.number, shot.endpointUid, shot.zone,
+    boolean journalShot(TrackedRecord record, TrackedRecord.Shot shot) {
+        return appendEntry(new JournalEntry.ShotFired(record.entry.number(), shot.number, shot.endpointUid, shot.zone,
                 shot.firedAt), 0);
     }
 
-    void endShot(TrackedRecord owed, TrackedRecord.Shot shot, Ending ending) {
+    void endShot(TrackedRecord record, TrackedRecord.Shot shot, Ending ending) {
         shot.ending = ending;
         shot.connection = null;
-        appendEntry(new JournalEntry.ShotEnded(owed.entry.number(), shot.number, ending), 0);
+        appendEntry(new JournalEntry.ShotEnded(record.entry.number(), shot.number, ending), 0);
     }
 
-    void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
-        if (owed.outcome == null) {
-            appendEntry(new JournalEntry.RecordEnded(owed.entry.number(), end, wait), 0);
-            applyEnd(owed, end, wait);
+    void endRecord(TrackedRecord record, JournalEntry.RecordOutcome outcome, long retryAfterMicros) {
+        if (record.outcome == null) {
+            appendEntry(new JournalEntry.RecordEnded(record.entry.number(), outcome, retryAfterMicros), 0);
+            applyEnd(record, outcome, retryAfterMicros);
         }
     }
 
-    private void applyEnd(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
-        owed.outcome = end;
-        owed.retryAfterMicros = wait;
-        owed.noticeSettled = end == JournalEntry.RecordOutcome.DONE || end == JournalEntry.RecordOutcome.WITHDRAWN;
+    private void applyEnd(TrackedRecord record, JournalEntry.RecordOutcome outcome, long retryAfterMicros) {
+        record.outcome = outcome;
+        record.retryAfterMicros = retryAfterMicros;
+        record.noticeSettled = outcome == JournalEntry.RecordOutcome.DONE || outcome == JournalEntry.RecordOutcome.WITHDRAWN;
         heldCount--;
-        liveBytes += ENDED_RECORD_BYTES - owed.entry.body().length - ENTRY_OVERHEAD_BYTES;
-        owed.dropBody();
-        endedRecords.addLast(owed);
+        liveBytes += ENDED_RECORD_BYTES - record.entry.body().length - ENTRY_OVERHEAD_BYTES;
+        record.dropBody();
+        endedRecords.addLast(record);
     }
 
-    void settleNotice(TrackedRecord owed) {
-        owed.noticeSettled = true;
-        appendEntry(new JournalEntry.NoticeAnswered(owed.entry.number()), 0);
+    void settleNotice(TrackedRecord record) {
+        record.noticeSettled = true;
+        appendEntry(new JournalEntry.NoticeAnswered(record.entry.number()), 0);
     }
 
     /**
      * Removes ended records whose notice is settled and which have no call in flight, once the given retention time has
      * passed since their abandon time, or earlier, oldest end first, while there are too many.
      */
-    void evictEnded(long now, long rest) {
+    void evictEnded(long now, long retentionMicros) {
         for (int i = endedRecords.size(); i > 0; i--) {
-            TrackedRecord owed = endedRecords.pollFirst();
-            boolean out = owed.shots.stream().anyMatch(shot -> shot.ending == null && shot.connection != null);
-            if (owed.noticeSettled && !out
-                    && (now > owed.entry.abandonAt() + rest || endedRecords.size() > limits.maxEndedRecords())) {
-                recordsByNumber.remove(owed.entry.number());
-                recordsById.remove(owed.entry.id(), owed);
+            TrackedRecord record = endedRecords.pollFirst();
+            boolean callInFlight = record.shots.stream().anyMatch(shot -> shot.ending == null && shot.connection != null);
+            if (record.noticeSettled && !callInFlight
+                    && (now > record.entry.abandonAt() + retentionMicros || endedRecords.size() > limits.maxEndedRecords())) {
+                recordsByNumber.remove(record.entry.number());
+                recordsById.remove(record.entry.id(), record);
                 liveBytes -= ENDED_RECORD_BYTES;
             } else {
-                endedRecords.addLast(owed);
+                endedRecords.addLast(record);
             }
         }
     }
@@ -197,22 +200,22 @@
 
     private List<JournalEntry> liveEntries() {
         List<JournalEntry> entries = new ArrayList<>();
-        for (TrackedRecord owed : recordsByNumber.values()) {
-            JournalEntry.RecordAccepted taken = owed.entry;
-            long number = taken.number();
-            entries.add(taken);
-            for (TrackedRecord.Shot shot : owed.shots) {
-                if (owed.isOpen() || shot.ending == null) {
+        for (TrackedRecord record : recordsByNumber.values()) {
+            JournalEntry.RecordAccepted accepted = record.entry;
+            long number = accepted.number();
+            entries.add(accepted);
+            for (TrackedRecord.Shot shot : record.shots) {
+                if (record.isOpen() || shot.ending == null) {
                     entries.add(new JournalEntry.ShotFired(number, shot.number, shot.endpointUid, shot.zone, shot.firedAt));
                 }
-                if (owed.isOpen() && shot.ending != null) {
+                if (record.isOpen() && shot.ending != null) {
                     entries.add(new JournalEntry.ShotEnded(number, shot.number, shot.ending));
                 }
             }
-            if (!owed.isOpen()) {
-                entries.add(new JournalEntry.RecordEnded(number, owed.outcome, owed.retryAfterMicros));
-                if (owed.noticeSettled && owed.outcome != JournalEntry.RecordOutcome.DONE
-                        && owed.outcome != JournalEntry.RecordOutcome.WITHDRAWN) {
+            if (!record.isOpen()) {
+                entries.add(new JournalEntry.RecordEnded(number, record.outcome, record.retryAfterMicros));
+                if (record.noticeSettled && record.outcome != JournalEntry.RecordOutcome.DONE
+                        && record.outcome != JournalEntry.RecordOutcome.WITHDRAWN) {
                     entries.add(new JournalEntry.NoticeAnswered(number));
                 }
             }
@@ -220,9 +223,9 @@
         return entries;
     }
 
-    private boolean appendEntry(JournalEntry entry, long reserve) {
+    private boolean appendEntry(JournalEntry entry, long reserveBytes) {
         try {
-            if (reserve > 0 && journal.remainingBytes(0) < reserve + Journal.encodedSize(entry)) {
+            if (reserveBytes > 0 && journal.remainingBytes(0) < reserveBytes + Journal.encodedSize(entry)) {
                 return false;
             }
             journal.append(entry);
--- a/src/main/java/terndyke/node/stage/SendStage.java
+++ b/src/main/java/terndyke/node/stage/SendStage.java
@@ -33,133 +33,138 @@
     private final DecisionLoop decisionLoop;
     private int probesInFlight;
 
-    public SendStage(Limits limits, Counters counters, EndpointRegistry catalogue, ConnectionPool calls, DecisionStage route,
-            RecordStore book, TimerQueue timers, List<String> reportFields, NodeLog log, DecisionLoop desk) {
+    public SendStage(Limits limits, Counters counters, EndpointRegistry endpointRegistry, ConnectionPool connectionPool,
+            DecisionStage decisionStage, RecordStore recordStore, TimerQueue timers, List<String> reportFields, NodeLog log,
+            DecisionLoop decisionLoop) {
         this.limits = limits;
         this.counters = counters;
-        this.endpointRegistry = catalogue;
-        this.connectionPool = calls;
-        this.decisionStage = route;
-        this.recordStore = book;
+        this.endpointRegistry = endpointRegistry;
+        this.connectionPool = connectionPool;
+        this.decisionStage = decisionStage;
+        this.recordStore = recordStore;
         this.timers = timers;
         this.reportFields = reportFields;
         this.log = log;
-        this.decisionLoop = desk;
+        this.decisionLoop = decisionLoop;
     }
 
     /** Journals a shot and starts its call. A shot that cannot be sent is reported as NOT_SENT. */
-    void sendShot(TrackedRecord owed, Action.SendShot shoot, long now) {
-        long endpoint = shoot.endpoint();
-        long notPast = shoot.deadline();
-        if (owed == null) {
-            decisionStage.addEvent(new Event.ShotEnded(shoot.id(), 0, endpoint, Ending.NOT_SENT, 0, 0, false, true, NO_REPORT));
+    void sendShot(TrackedRecord record, Action.SendShot action, long now) {
+        long endpointNumber = action.endpoint();
+        long deadline = action.deadline();
+        if (record == null) {
+            decisionStage.addEvent(new Event.ShotEnded(action.id(), 0, endpointNumber, Ending.NOT_SENT, 0, 0, false, true,
+                    NO_REPORT));
             return;
         }
-        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
-        TrackedRecord.Shot shot = new TrackedRecord.Shot(owed.shots.size(), endpoint, member == null ? "" : member.uid(),
-                member == null ? 0 : member.zone(), now);
-        owed.shots.add(shot);
-        boolean lawful = member != null && member.destination() == owed.entry.destination() && owed.isOpen()
-                && notPast > now && shoot.startBy() > decisionLoop.now();
-        if (!lawful) {
-            complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, false, NO_REPORT);
+        EndpointRegistry.Endpoint endpoint = endpointRegistry.findEndpoint(endpointNumber);
+        TrackedRecord.Shot shot = new TrackedRecord.Shot(record.shots.size(), endpointNumber,
+                endpoint == null ? "" : endpoint.uid(), endpoint == null ? 0 : endpoint.zone(), now);
+        record.shots.add(shot);
+        boolean canSend = endpoint != null && endpoint.destination() == record.entry.destination() && record.isOpen()
+                && deadline > now && action.startBy() > decisionLoop.now();
+        if (!canSend) {
+            complete(record, shot, endpointNumber, Ending.NOT_SENT, now, 0, false, NO_REPORT);
             return;
         }
-        if (!recordStore.journalShot(owed, shot)) {
+        if (!recordStore.journalShot(record, shot)) {
             // reported after a delay, so that a full disk does not use up all shots of a record at once
             timers.schedule(now + limits.journalFailureDelayMicros(),
-                    () -> complete(owed, shot, endpoint, Ending.NOT_SENT, decisionLoop.now(), 0, true, NO_REPORT));
+                    () -> complete(record, shot, endpointNumber, Ending.NOT_SENT, decisionLoop.now(), 0, true, NO_REPORT));
             return;
         }
         counters.add(Counter.SHOTS);
-        long opened = log.isTracing() ? counters.get(Counter.CONNECTIONS_OPENED) : 0;
-        shot.connection = connectionPool.startCall(member.peer(),
-                buildCall(owed, member.peer(), notPast - now, shoot.startBy()), now,
-                result -> decisionLoop.post(new LoopEvent.ShotCompleted(owed, shot, endpoint, result, decisionLoop.now())));
+        long openedBefore = log.isTracing() ? counters.get(Counter.CONNECTIONS_OPENED) : 0;
+        shot.connection = connectionPool.startCall(endpoint.peer(),
+                buildCall(record, endpoint.peer(), deadline - now, action.startBy()), now,
+                result -> decisionLoop.post(new LoopEvent.ShotCompleted(record, shot, endpointNumber, result,
+                        decisionLoop.now())));
         if (shot.connection == null) {
-            complete(owed, shot, endpoint, Ending.NOT_SENT, now, 0, true, NO_REPORT);
+            complete(record, shot, endpointNumber, Ending.NOT_SENT, now, 0, true, NO_REPORT);
         } else {
-            timers.schedule(notPast, () -> cancelShot(owed, shot, endpoint, Ending.TIMED_OUT));
+            timers.schedule(deadline, () -> cancelShot(record, shot, endpointNumber, Ending.TIMED_OUT));
         }
         if (log.isTracing()) {
-            log.trace(now, "shot", owed.entry.number(), shot.number, member.uid(), member.destination(),
-                    counters.get(Counter.CONNECTIONS_OPENED) > opened ? "new" : "kept");
+            log.trace(now, "shot", record.entry.number(), shot.number, endpoint.uid(), endpoint.destination(),
+                    counters.get(Counter.CONNECTIONS_OPENED) > openedBefore ? "new" : "kept");
         }
     }
 
-    private static Call buildCall(TrackedRecord owed, ConnectionPool.Peer peer, long wait, long startBy) {
-        List<String> headers = new ArrayList<>(List.of("Host", peer.hostHeader(), "Request-Id", owed.entry.id()));
-        if (owed.entry.idempotencyKey() != null) {
-            headers.addAll(List.of("Idempotency-Key", owed.entry.idempotencyKey()));
+    private static Call buildCall(TrackedRecord record, ConnectionPool.Peer peer, long timeoutMicros, long startBy) {
+        List<String> headers = new ArrayList<>(List.of("Host", peer.hostHeader(), "Request-Id", record.entry.id()));
+        if (record.entry.idempotencyKey() != null) {
+            headers.addAll(List.of("Idempotency-Key", record.entry.idempotencyKey()));
         }
-        headers.addAll(List.of("Request-Timeout-Ms", Long.toString(Math.max(1, wait / 1000)),
-                "Content-Length", Integer.toString(owed.entry.body().length)));
-        return new Call("POST", "/events", headers.toArray(String[]::new), owed.entry.body(), startBy);
+        headers.addAll(List.of("Request-Timeout-Ms", Long.toString(Math.max(1, timeoutMicros / 1000)),
+                "Content-Length", Integer.toString(record.entry.body().length)));
+        return new Call("POST", "/events", headers.toArray(String[]::new), record.entry.body(), startBy);
     }
 
     /** Recalls one shot at the request of the decision module. */
-    void recallShot(TrackedRecord owed, int number) {
-        if (number < owed.shots.size()) {
-            TrackedRecord.Shot shot = owed.shots.get(number);
-            cancelShot(owed, shot, shot.endpointNumber, Ending.RECALLED);
+    void recallShot(TrackedRecord record, int shotNumber) {
+        if (shotNumber < record.shots.size()) {
+            TrackedRecord.Shot shot = record.shots.get(shotNumber);
+            cancelShot(record, shot, shot.endpointNumber, Ending.RECALLED);
         }
     }
 
-    private void cancelShot(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending) {
+    private void cancelShot(TrackedRecord record, TrackedRecord.Shot shot, long endpointNumber, Ending ending) {
         if (shot.ending == null && shot.connection != null) {
             // once the record has ended, a connection that was not established in time says nothing about the endpoint
-            boolean notConnected = connectionPool.cancelCall(shot.connection) && owed.isOpen();
-            Ending how = notConnected ? Ending.NOT_CONNECTED : ending;
-            if (owed.isOpen()) {
-                log.infoAboutRecord(describeShot(owed, shot, how, decisionLoop.now()));
+            boolean notConnected = connectionPool.cancelCall(shot.connection) && record.isOpen();
+            Ending actualEnding = notConnected ? Ending.NOT_CONNECTED : ending;
+            if (record.isOpen()) {
+                log.infoAboutRecord(describeShot(record, shot, actualEnding, decisionLoop.now()));
             }
-            complete(owed, shot, endpoint, how, decisionLoop.now(), 0, false, NO_REPORT);
+            complete(record, shot, endpointNumber, actualEnding, decisionLoop.now(), 0, false, NO_REPORT);
         }
     }
 
     /** Handles the result of a shot's call. */
-    void handleResult(LoopEvent.ShotCompleted over) {
-        if (over.shot().ending == null) {
-            Call.Result result = over.result();
+    void handleResult(LoopEvent.ShotCompleted shotCompleted) {
+        if (shotCompleted.shot().ending == null) {
+            Call.Result result = shotCompleted.result();
             Ending ending = toEnding(result);
             if (ending == Ending.ERROR || result.ending() != null || result.defect() != ResponseDefect.NONE) {
-                log.infoAboutRecord(describeShot(over.trackedRecord(), over.shot(), ending, over.completedAt())
+                log.infoAboutRecord(describeShot(shotCompleted.trackedRecord(), shotCompleted.shot(), ending,
+                        shotCompleted.completedAt())
                         + ", status " + result.status() + ", response defect " + result.defect());
             }
             if (result.status() == 410) {
-                log.infoAboutRecord("message " + over.trackedRecord().entry.id() + " withdrawn: status 410 from the endpoint");
-                recordStore.endRecord(over.trackedRecord(), JournalEntry.RecordOutcome.WITHDRAWN, 0);
+                log.infoAboutRecord("message " + shotCompleted.trackedRecord().entry.id()
+                        + " withdrawn: status 410 from the endpoint");
+                recordStore.endRecord(shotCompleted.trackedRecord(), JournalEntry.RecordOutcome.WITHDRAWN, 0);
             }
-            complete(over.trackedRecord(), over.shot(), over.endpointNumber(), ending, over.completedAt(),
-                    ending == Ending.FULL || ending == Ending.RESET ? result.retryAfterMicros() : 0,
+            complete(shotCompleted.trackedRecord(), shotCompleted.shot(), shotCompleted.endpointNumber(), ending,
+                    shotCompleted.completedAt(), ending == Ending.FULL || ending == Ending.RESET ? result.retryAfterMicros() : 0,
                     ending == Ending.NOT_SENT && result.lineBusy(),
                     parseReport(result.serverLoad(), reportFields));
         }
     }
 
-    private void complete(TrackedRecord owed, TrackedRecord.Shot shot, long endpoint, Ending ending, long at, long wait,
-            boolean noSlot, float[] report) {
+    private void complete(TrackedRecord record, TrackedRecord.Shot shot, long endpointNumber, Ending ending, long completedAt,
+            long retryAfterMicros, boolean noFreeSlot, float[] report) {
         counters.add(Counter.valueOf(ending.name()));
         if (log.isTracing()) {
-            log.trace(at, "over", owed.entry.number(), shot.number, shot.endpointUid, owed.entry.destination(), ending,
-                    at - shot.firedAt, wait);
+            log.trace(completedAt, "over", record.entry.number(), shot.number, shot.endpointUid, record.entry.destination(),
+                    ending, completedAt - shot.firedAt, retryAfterMicros);
         }
-        boolean wasOver = owed.outcome != null;
-        if (ending == Ending.DONE && !wasOver) {
+        boolean wasEnded = record.outcome != null;
+        if (ending == Ending.DONE && !wasEnded) {
             shot.ending = ending;
             shot.connection = null;
-            recordStore.endRecord(owed, JournalEntry.RecordOutcome.DONE, 0);
+            recordStore.endRecord(record, JournalEntry.RecordOutcome.DONE, 0);
             counters.add(Counter.ENDED_DONE);
         } else {
-            recordStore.endShot(owed, shot, ending);
+            recordStore.endShot(record, shot, ending);
         }
-        decisionStage.addEvent(new Event.ShotEnded(owed.entry.number(), shot.number, endpoint, ending, Math.max(0,
-                at - shot.firedAt), wait, noSlot, owed.outcome != null, report));
+        decisionStage.addEvent(new Event.ShotEnded(record.entry.number(), shot.number, endpointNumber, ending, Math.max(0,
+                completedAt - shot.firedAt), retryAfterMicros, noFreeSlot, record.outcome != null, report));
     }
 
-    private static String describeShot(TrackedRecord owed, TrackedRecord.Shot shot, Ending ending, long at) {
-        return "attempt " + shot.number + " of " + owed.entry.id() + " at " + shot.endpointUid + ": " + ending + " after "
-                + (at - shot.firedAt) / 1000 + " ms";
+    private static String describeShot(TrackedRecord record, TrackedRecord.Shot shot, Ending ending, long completedAt) {
+        return "attempt " + shot.number + " of " + record.entry.id() + " at " + shot.endpointUid + ": " + ending + " after "
+                + (completedAt - shot.firedAt) / 1000 + " ms";
     }
 
     /** Maps the result of a call to an ending; an unknown status is an error. */
@@ -184,84 +189,85 @@
      * Parses a load report such as x0=0.4,x1=25 into values in the order of the configured fields. Returns an empty array
      * if a field is missing or a value is not a finite, non-negative number.
      */
-    static float[] parseReport(String load, List<String> reportFields) {
-        if (load == null || reportFields.isEmpty()) {
+    static float[] parseReport(String serverLoad, List<String> reportFields) {
+        if (serverLoad == null || reportFields.isEmpty()) {
             return NO_REPORT;
         }
         float[] values = new float[reportFields.size()];
-        int read = 0;
-        for (String pair : load.split(",")) {
-            String[] sides = pair.strip().split("=", 2);
-            int place = reportFields.indexOf(sides[0].strip());
+        int fieldsRead = 0;
+        for (String pair : serverLoad.split(",")) {
+            String[] nameAndValue = pair.strip().split("=", 2);
+            int fieldIndex = reportFields.indexOf(nameAndValue[0].strip());
             float value = -1;
             try {
-                value = sides.length == 2 ? Float.parseFloat(sides[1].strip()) : -1;
+                value = nameAndValue.length == 2 ? Float.parseFloat(nameAndValue[1].strip()) : -1;
             } catch (NumberFormatException e) {
                 // not a number: value stays -1, so there is no report
             }
             if (!Float.isFinite(value) || value < 0) {
                 return NO_REPORT;
             }
-            if (place >= 0) {
-                values[place] = value;
-                read |= 1 << place;
+            if (fieldIndex >= 0) {
+                values[fieldIndex] = value;
+                fieldsRead |= 1 << fieldIndex;
             }
         }
-        return Integer.bitCount(read) == reportFields.size() ? values : NO_REPORT;
+        return Integer.bitCount(fieldsRead) == reportFields.size() ? values : NO_REPORT;
     }
 
     /** Checks an endpoint by a call that carries no record. */
-    void startProbe(long endpoint, long now) {
-        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
-        if (member == null) {
+    void startProbe(long endpointNumber, long now) {
+        EndpointRegistry.Endpoint endpoint = endpointRegistry.findEndpoint(endpointNumber);
+        if (endpoint == null) {
             return;
         }
-        Call call = new Call("GET", "/ping", new String[] {"Host", member.peer().hostHeader()}, EMPTY_BODY);
-        PendingProbe probing = new PendingProbe(member, now);
-        probing.connection = probesInFlight >= limits.maxConcurrentProbes() ? null
-                : connectionPool.startCall(member.peer(), call, now,
-                result -> decisionLoop.post(new LoopEvent.ProbeCompleted(probing, result, decisionLoop.now())));
-        if (probing.connection == null) {
-            decisionStage.addEvent(new Event.ProbeEnded(endpoint, Ending.NOT_SENT, 0, NO_REPORT));
+        Call call = new Call("GET", "/ping", new String[] {"Host", endpoint.peer().hostHeader()}, EMPTY_BODY);
+        PendingProbe probe = new PendingProbe(endpoint, now);
+        probe.connection = probesInFlight >= limits.maxConcurrentProbes() ? null
+                : connectionPool.startCall(endpoint.peer(), call, now,
+                result -> decisionLoop.post(new LoopEvent.ProbeCompleted(probe, result, decisionLoop.now())));
+        if (probe.connection == null) {
+            decisionStage.addEvent(new Event.ProbeEnded(endpointNumber, Ending.NOT_SENT, 0, NO_REPORT));
             return;
         }
         probesInFlight++;
         counters.add(Counter.PROBES);
-        log.trace(now, "probe", member.uid(), member.destination());
+        log.trace(now, "probe", endpoint.uid(), endpoint.destination());
         timers.schedule(now + limits.probeTimeoutMicros(), () -> {
-            if (!probing.completed) {
-                connectionPool.cancelCall(probing.connection);
-                complete(probing, Ending.TIMED_OUT, decisionLoop.now(), NO_REPORT);
+            if (!probe.completed) {
+                connectionPool.cancelCall(probe.connection);
+                complete(probe, Ending.TIMED_OUT, decisionLoop.now(), NO_REPORT);
             }
         });
     }
 
     /** Handles the result of a probe. */
-    void handleResult(LoopEvent.ProbeCompleted probe) {
-        if (!probe.pendingProbe().completed) {
-            complete(probe.pendingProbe(), toEnding(probe.result()), probe.completedAt(),
-                    parseReport(probe.result().serverLoad(), reportFields));
+    void handleResult(LoopEvent.ProbeCompleted probeCompleted) {
+        if (!probeCompleted.pendingProbe().completed) {
+            complete(probeCompleted.pendingProbe(), toEnding(probeCompleted.result()), probeCompleted.completedAt(),
+                    parseReport(probeCompleted.result().serverLoad(), reportFields));
         }
     }
 
-    private void complete(PendingProbe probing, Ending ending, long at, float[] report) {
-        probing.completed = true;
+    private void complete(PendingProbe probe, Ending ending, long completedAt, float[] report) {
+        probe.completed = true;
         probesInFlight--;
-        log.trace(at, "probed", probing.member.uid(), probing.member.destination(), ending, at - probing.startedAt);
-        decisionStage.addEvent(new Event.ProbeEnded(probing.member.number(), ending,
-                Math.max(0, at - probing.startedAt), report));
+        log.trace(completedAt, "probed", probe.endpoint.uid(), probe.endpoint.destination(), ending,
+                completedAt - probe.startedAt);
+        decisionStage.addEvent(new Event.ProbeEnded(probe.endpoint.number(), ending,
+                Math.max(0, completedAt - probe.startedAt), report));
     }
 
     /** A probe in flight. */
     static final class PendingProbe {
-        private final EndpointRegistry.Endpoint member;
+        private final EndpointRegistry.Endpoint endpoint;
         private final long startedAt;
         private ConnectionPool.PooledConnection connection;
         private boolean completed;
 
-        private PendingProbe(EndpointRegistry.Endpoint member, long firedAt) {
-            this.member = member;
-            this.startedAt = firedAt;
+        private PendingProbe(EndpointRegistry.Endpoint endpoint, long startedAt) {
+            this.endpoint = endpoint;
+            this.startedAt = startedAt;
         }
     }
 
@@ -269,32 +275,32 @@
      * Reports a record of the previous run and its shots to the decision module, unless it has ended, its notice is
      * settled and the outcome of every shot is known.
      */
-    void restore(TrackedRecord owed, long now) {
-        List<Event.EarlierShot> earlier = new ArrayList<>();
-        for (TrackedRecord.Shot shot : owed.shots) {
-            EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(shot.endpointUid);
-            earlier.add(new Event.EarlierShot(member == null ? -1 : member.number(), shot.zone,
+    void restore(TrackedRecord record, long now) {
+        List<Event.EarlierShot> earlierShots = new ArrayList<>();
+        for (TrackedRecord.Shot shot : record.shots) {
+            EndpointRegistry.Endpoint endpoint = endpointRegistry.findEndpoint(shot.endpointUid);
+            earlierShots.add(new Event.EarlierShot(endpoint == null ? -1 : endpoint.number(), shot.zone,
                     Math.max(0, now - shot.firedAt), shot.ending));
         }
-        boolean stray = owed.shots.stream().anyMatch(shot -> shot.ending == null);
-        if (owed.isOpen() || !owed.noticeSettled || stray) {
-            decisionStage.addEvent(new Event.RecordRestored(DecisionLoop.toEvent(owed, now), earlier, !owed.isOpen()));
+        boolean outcomeUnknown = record.shots.stream().anyMatch(shot -> shot.ending == null);
+        if (record.isOpen() || !record.noticeSettled || outcomeUnknown) {
+            decisionStage.addEvent(new Event.RecordRestored(DecisionLoop.toEvent(record, now), earlierShots, !record.isOpen()));
         }
     }
 
     /** Cancels the calls to an endpoint of which nothing has been sent yet. */
-    void withhold(long endpoint) {
-        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
-        if (member != null) {
-            connectionPool.withhold(member.peer());
+    void cancelUnsentCalls(long endpointNumber) {
+        EndpointRegistry.Endpoint endpoint = endpointRegistry.findEndpoint(endpointNumber);
+        if (endpoint != null) {
+            connectionPool.withhold(endpoint.peer());
         }
     }
 
     /** Closes the idle connections to an endpoint. */
-    void closeIdleConnections(long endpoint) {
-        EndpointRegistry.Endpoint member = endpointRegistry.findEndpoint(endpoint);
-        if (member != null) {
-            connectionPool.closeIdle(member.peer());
+    void closeIdleConnections(long endpointNumber) {
+        EndpointRegistry.Endpoint endpoint = endpointRegistry.findEndpoint(endpointNumber);
+        if (endpoint != null) {
+            connectionPool.closeIdle(endpoint.peer());
         }
     }
 }
--- a/src/main/java/terndyke/node/stage/TimerQueue.java
+++ b/src/main/java/terndyke/node/stage/TimerQueue.java
@@ -14,8 +14,8 @@
         }
     }
 
-    public void schedule(long time, Runnable work) {
-        queue.add(new Timer(time, nextSequence++, work));
+    public void schedule(long dueAt, Runnable task) {
+        queue.add(new Timer(dueAt, nextSequence++, task));
     }
 
     /** The due time of the first task, or the given time if that is earlier. */
--- a/src/main/java/terndyke/node/stage/TrackedRecord.java
+++ b/src/main/java/terndyke/node/stage/TrackedRecord.java
@@ -32,31 +32,32 @@
         Ending ending;
         ConnectionPool.PooledConnection connection;
 
-        Shot(int number, long target, String endpoint, int zone, long firedAt) {
+        Shot(int number, long endpointNumber, String endpointUid, int zone, long firedAt) {
             this.number = number;
-            this.endpointNumber = target;
-            this.endpointUid = endpoint;
+            this.endpointNumber = endpointNumber;
+            this.endpointUid = endpointUid;
             this.zone = zone;
             this.firedAt = firedAt;
         }
     }
 
-    TrackedRecord(JournalEntry.RecordAccepted taken, boolean again, boolean fromDeadNode, ClientRequest.Responder answer) {
-        this.entry = taken;
-        this.clientRetry = again;
+    TrackedRecord(JournalEntry.RecordAccepted entry, boolean clientRetry, boolean fromDeadNode,
+            ClientRequest.Responder responder) {
+        this.entry = entry;
+        this.clientRetry = clientRetry;
         this.fromDeadNode = fromDeadNode;
-        this.responder = answer;
+        this.responder = responder;
     }
 
     /**
      * Whether a request under the same id is for this same record, since equal ids alone do not prove it. Once the record
      * has ended its body and idempotency key are gone and are not compared.
      */
-    boolean isSameRecord(ClientRequest handover) {
-        return entry.grade() == handover.grade() && entry.tenant() == handover.tenant() && entry.key() == handover.key()
-                && entry.destination() == handover.destination() && (!isOpen()
-                || Objects.equals(entry.idempotencyKey(), handover.idempotencyKey())
-                && Arrays.equals(entry.body(), handover.body()));
+    boolean isSameRecord(ClientRequest request) {
+        return entry.grade() == request.grade() && entry.tenant() == request.tenant() && entry.key() == request.key()
+                && entry.destination() == request.destination() && (!isOpen()
+                || Objects.equals(entry.idempotencyKey(), request.idempotencyKey())
+                && Arrays.equals(entry.body(), request.body()));
     }
 
     void dropBody() {
