--- a/src/main/java/terndyke/Main.java
+++ b/src/main/java/terndyke/Main.java
@@ -27,51 +27,51 @@
 import terndyke.node.DeliveryNode;
 import terndyke.node.NodeLog;
 
-/** The command line: one subcommand for each way to run terndyke. */
+/** The command line, with one subcommand for each way to run terndyke. */
 public final class Main {
     private static final int EXIT_BAD_INPUT = 2;
     private static final int EXIT_BAD_USAGE = 64;
 
     private Main() { }
 
-    @Parameters(commandDescription = "run a delivery node until it is told to end")
+    @Parameters(commandDescription = "run a delivery node until it is asked to terminate")
     private static final class ServeOptions {
-        @Parameter(names = "--config", description = "the node's configuration; else NODE_CONFIG")
+        @Parameter(names = "--config", description = "configuration file of the node; default: NODE_CONFIG")
         private String config = System.getenv("NODE_CONFIG");
-        @Parameter(names = "--name", description = "the node's name; else NODE_NAME, else the configuration's")
+        @Parameter(names = "--name", description = "name of the node; default: NODE_NAME, else as configured")
         private String name = System.getenv("NODE_NAME");
-        @Parameter(names = "--listen", description = "where clients connect; else NODE_LISTEN")
+        @Parameter(names = "--listen", description = "address for client connections; default: NODE_LISTEN, else as configured")
         private String listen = System.getenv("NODE_LISTEN");
-        @Parameter(names = "--discovery", description = "where discovery answers; else the configuration's")
+        @Parameter(names = "--discovery", description = "address of discovery; default: as configured, else NODE_DISCOVERY")
         private String discovery;
-        @Parameter(names = "--state", description = "the folder that lasts; else NODE_STATE")
+        @Parameter(names = "--state", description = "directory for persistent state; default: NODE_STATE")
         private String state = System.getenv("NODE_STATE");
         @Parameter(names = "--trace", description = "log each record, shot, probe and list; lab fleet reads it")
         private boolean trace;
     }
 
-    @Parameters(commandDescription = "answer the bench's wire on standard input and output")
+    @Parameters(commandDescription = "serve the simulator protocol on standard input and output")
     private static final class AdapterOptions { }
 
     @Parameters(commandDescription = "print the version")
     private static final class VersionOptions { }
 
-    @Parameters(commandDescription = "the laboratory: lab help shows its commands")
+    @Parameters(commandDescription = "run a command of the laboratory; lab help lists them")
     private static final class LabOptions {
         @Parameter(description = "command and its options")
         private List<String> arguments = new ArrayList<>();
     }
 
-    @Parameters(commandDescription = "show this text")
+    @Parameters(commandDescription = "show this help")
     private static final class HelpOptions { }
 
     public static void main(String[] arguments) {
         if (arguments.length > 0 && arguments[0].equals("lab")) {
             System.exit(runLab(Arrays.copyOfRange(arguments, 1, arguments.length)));
         }
-        CompletableFuture<Runnable> reread = arguments.length > 0 && arguments[0].equals("serve") ? handleHangupSignals() : null;
-        ServeOptions serve = new ServeOptions();
-        JCommander commands = JCommander.newBuilder().programName("terndyke").addCommand("serve", serve)
+        CompletableFuture<Runnable> reload = arguments.length > 0 && arguments[0].equals("serve") ? handleHangupSignals() : null;
+        ServeOptions serveOptions = new ServeOptions();
+        JCommander commands = JCommander.newBuilder().programName("terndyke").addCommand("serve", serveOptions)
                 .addCommand("adapter", new AdapterOptions())
                 .addCommand("lab", new LabOptions()).addCommand("version", new VersionOptions())
                 .addCommand("help", new HelpOptions()).build();
@@ -82,7 +82,7 @@
             System.exit(EXIT_BAD_USAGE);
         }
         switch (String.valueOf(commands.getParsedCommand())) {
-            case "serve" -> serve(serve, reread);
+            case "serve" -> serve(serveOptions, reload);
             case "adapter" -> System.exit(runAdapter());
             case "version" -> System.out.println("terndyke " + Main.class.getPackage().getImplementationVersion());
             case "help" -> commands.usage();
@@ -94,41 +94,44 @@
     }
 
     /**
-     * SIGHUP is heard from the first moment on, or it would end a process that is still starting: what comes before there
-     * is a node is told to it as soon as there is one. One at a time, and one more that waits: whatever comes beside these
-     * reads the same file.
+     * Installs the SIGHUP handler at once, since an unhandled SIGHUP would end a process that is still starting. A signal
+     * that arrives before the node exists is handled as soon as it does. One reload runs and one more may wait; further
+     * signals are dropped, as the waiting reload reads the same file.
      */
     private static CompletableFuture<Runnable> handleHangupSignals() {
-        CompletableFuture<Runnable> reread = new CompletableFuture<>();
-        ThreadPoolExecutor rereads = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), work -> {
-            Thread thread = new Thread(work, "terndyke-reread");
+        CompletableFuture<Runnable> reload = new CompletableFuture<>();
+        ThreadPoolExecutor reloadExecutor = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
+                new ArrayBlockingQueue<>(1), task -> {
+            Thread thread = new Thread(task, "terndyke-reread");
             thread.setDaemon(true);
             return thread;
         }, new ThreadPoolExecutor.DiscardPolicy());
         try {
-            SignalHandlers.register("HUP", () -> rereads.execute(() -> reread.join().run()));
+            SignalHandlers.register("HUP", () -> reloadExecutor.execute(() -> reload.join().run()));
         } catch (IOException e) {
             System.err.println("terndyke: " + e.getMessage());
             System.exit(EXIT_BAD_INPUT);
         }
-        return reread;
+        return reload;
     }
 
-    private static void serve(ServeOptions serve, CompletableFuture<Runnable> reread) {
+    private static void serve(ServeOptions serveOptions, CompletableFuture<Runnable> reload) {
         try {
-            NodeConfiguration.StartupOptions place = new NodeConfiguration.StartupOptions(serve.config, serve.name, serve.listen, serve.discovery, serve.state);
-            NodeConfiguration charter = NodeConfiguration.read(place);
-            DeliveryNode node = new DeliveryNode(charter, new NodeLog(System.out, charter.name(), serve.trace));
-            reread.complete(() -> node.reloadConfiguration(place));
-            Thread close = new Thread(() -> {
+            NodeConfiguration.StartupOptions options = new NodeConfiguration.StartupOptions(serveOptions.config,
+                    serveOptions.name, serveOptions.listen, serveOptions.discovery, serveOptions.state);
+            NodeConfiguration configuration = NodeConfiguration.read(options);
+            DeliveryNode node = new DeliveryNode(configuration,
+                    new NodeLog(System.out, configuration.name(), serveOptions.trace));
+            reload.complete(() -> node.reloadConfiguration(options));
+            Thread shutdownHook = new Thread(() -> {
                 node.close();
                 Runtime.getRuntime().halt(0);
             }, "terndyke-close");
-            Runtime.getRuntime().addShutdownHook(close);
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             try {
                 node.start();
             } catch (IOException e) {
-                Runtime.getRuntime().removeShutdownHook(close); // a node that never served has its own status
+                Runtime.getRuntime().removeShutdownHook(shutdownHook); // a node that never served exits with a status of its own
                 throw e;
             }
         } catch (IOException e) {
@@ -138,27 +141,27 @@
     }
 
     /**
-     * The laboratory lies in a jar of its own beside this one, so that no node ever loads or opens anything of it; on a
-     * class path of folders it is just there.
+     * Runs the laboratory. It has a jar of its own beside this one, so that no node ever loads or opens any part of it. On
+     * a class path of directories it is loaded directly.
      */
     private static int runLab(String[] arguments) {
         try {
-            Path own = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path ownJar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
             ClassLoader loader = Main.class.getClassLoader();
-            if (Files.isRegularFile(own)) {
-                Path jar = own.resolveSibling("terndyke-lab.jar");
-                if (!Files.isRegularFile(jar)) {
-                    System.err.println("terndyke: the laboratory is not installed: " + jar + " is missing");
+            if (Files.isRegularFile(ownJar)) {
+                Path labJar = ownJar.resolveSibling("terndyke-lab.jar");
+                if (!Files.isRegularFile(labJar)) {
+                    System.err.println("terndyke: the laboratory is not installed: " + labJar + " is missing");
                     return EXIT_BAD_INPUT;
                 }
-                System.setProperty("terndyke.jar", own.toString());
-                loader = new URLClassLoader(new URL[] {jar.toUri().toURL()}, loader);
+                System.setProperty("terndyke.jar", ownJar.toString());
+                loader = new URLClassLoader(new URL[] {labJar.toUri().toURL()}, loader);
                 Thread.currentThread().setContextClassLoader(loader);
             }
             return (int) Class.forName("terndyke.lab.Lab", true, loader).getMethod("run", String[].class)
                     .invoke(null, (Object) arguments);
         } catch (ReflectiveOperationException | URISyntaxException | IOException e) {
-            System.err.println("terndyke: the laboratory does not start: " + e);
+            System.err.println("terndyke: cannot start the laboratory: " + e);
             return 1;
         }
     }
--- a/src/main/java/terndyke/node/FlatJson.java
+++ b/src/main/java/terndyke/node/FlatJson.java
@@ -8,7 +8,10 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** Reads JSON into paths and plain values: lists of plain values are joined by commas, others carry a count. */
+/**
+ * Flattens a JSON object into paths and scalar values. An array of scalars becomes one value joined by commas; an array
+ * with nested elements has its elements under their index and its length under PATH.count.
+ */
 public final class FlatJson {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
@@ -16,7 +19,7 @@
 
     private FlatJson() { }
 
-    /** The values by path, such as known.targets.0.uid; an IOException names what cannot be read. */
+    /** Returns the values by path, such as known.targets.0.uid; the IOException says what cannot be parsed. */
     public static Map<String, String> read(byte[] json) throws IOException {
         FlatJson flat = new FlatJson();
         try (JsonParser parser = JSON_FACTORY.createParser(json)) {
@@ -25,21 +28,21 @@
             }
             flat.readObject(parser, "");
             if (parser.nextToken() != null) {
-                throw new IOException("more than one JSON object");
+                throw new IOException("unexpected content after the JSON object");
             }
         }
         return flat.values;
     }
 
-    /** The part of the values below a path, with the path taken off. */
+    /** Returns the values below a path, with that path removed from their keys. */
     public static Map<String, String> subtree(String path, Map<String, String> values) {
-        Map<String, String> part = new LinkedHashMap<>();
+        Map<String, String> result = new LinkedHashMap<>();
         values.forEach((key, value) -> {
             if (key.startsWith(path + ".")) {
-                part.put(key.substring(path.length() + 1), value);
+                result.put(key.substring(path.length() + 1), value);
             }
         });
-        return part;
+        return result;
     }
 
     private void readObject(JsonParser parser, String path) throws IOException {
@@ -60,7 +63,7 @@
     }
 
     private void readArray(JsonParser parser, String path) throws IOException {
-        StringBuilder plain = new StringBuilder();
+        StringBuilder joined = new StringBuilder();
         int count = 0;
         boolean nested = false;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -68,7 +71,7 @@
                 nested = true;
                 readValue(parser, path + "." + count);
             } else {
-                plain.append(count > 0 ? "," : "").append(parser.getText());
+                joined.append(count > 0 ? "," : "").append(parser.getText());
             }
             count++;
         }
@@ -76,7 +79,7 @@
             values.put(path + ".count", Integer.toString(count));
         }
         if (!nested) {
-            values.put(path, plain.toString());
+            values.put(path, joined.toString());
         }
     }
 }
--- a/src/main/java/terndyke/node/Limits.java
+++ b/src/main/java/terndyke/node/Limits.java
@@ -1,37 +1,49 @@
 package terndyke.node;
 
 /**
- * All sizes, counts and times of a node, filled once at its start from what the machine grants. Times are whole
- * microseconds, sizes are bytes.
+ * All sizes, counts and times that limit a node, derived once at its start from the resources it is granted. Times are in
+ * whole microseconds, sizes in bytes.
  */
 public record Limits(
         int maxBodyBytes, int maxResponseBytes, int maxHeaderLineBytes, int maxHeaders, int maxIdChars, int ioBufferBytes,
-        int maxClientConnections, int maxExcessClientConnections, int maxPendingConnections, int listenBacklog, int maxEndpointConnections, int maxConcurrentProbes,
+        int maxClientConnections, int maxExcessClientConnections, int maxPendingConnections, int listenBacklog,
+        int maxEndpointConnections, int maxConcurrentProbes,
         int requestQueueCapacity, int maxEventsPerTurn, int maxHeldRecords, long maxHeldBytes, int maxEndedRecords,
         long maxJournalBytes, long journalReserveBytes,
-        long connectTimeoutMicros, long idleConnectionTimeoutMicros, long connectionReuseDelayMicros, long responseReadTimeoutMicros,
-        long requestReadTimeoutMicros, long firstRequestTimeoutMicros, long idleClientTimeoutMicros, long idleClientEvictionMicros, long silentClientTimeoutMicros, long silentClientEvictionMicros,
+        long connectTimeoutMicros, long idleConnectionTimeoutMicros, long connectionReuseDelayMicros,
+        long responseReadTimeoutMicros,
+        long requestReadTimeoutMicros, long firstRequestTimeoutMicros, long idleClientTimeoutMicros,
+        long idleClientEvictionMicros,
+        long silentClientTimeoutMicros, long silentClientEvictionMicros,
         int maxPipelinedRequests, int maxDiscardedBodyBytes, long maxAdmissionDelayMicros,
-        long watchWaitMicros, long watchSlackMicros, int maxWatchTimeoutMultiplier, long retryDelayMicros, long responseTimeoutMicros, long probeTimeoutMicros, long journalFailureDelayMicros,
-        long maxRecordTimeoutMicros, long maxPollWaitMicros, long selectIntervalMicros, long sweepIntervalMicros, long endedRecordRetentionMicros,
+        long watchWaitMicros, long watchSlackMicros, int maxWatchTimeoutMultiplier, long retryDelayMicros,
+        long responseTimeoutMicros, long probeTimeoutMicros, long journalFailureDelayMicros,
+        long maxRecordTimeoutMicros, long maxPollWaitMicros, long selectIntervalMicros, long sweepIntervalMicros,
+        long endedRecordRetentionMicros,
         long goneEndpointRetentionMicros, int maxGoneEndpoints,
-        long startTimeoutMicros, long warmUpTimeoutMicros, long shutdownGracePeriodMicros, long minShutdownMicros, long finalEventPollMicros, long closeTimeoutMicros,
-        long slowTurnThresholdMicros, long slowTurnLogIntervalMicros, long noticeDeadlineMicros, long noticeTimeoutMicros, long noticeRetryDelayMicros) {
+        long startTimeoutMicros, long warmUpTimeoutMicros, long shutdownGracePeriodMicros, long minShutdownMicros,
+        long finalEventPollMicros, long closeTimeoutMicros,
+        long slowTurnThresholdMicros, long slowTurnLogIntervalMicros, long noticeDeadlineMicros, long noticeTimeoutMicros,
+        long noticeRetryDelayMicros) {
 
-    /** Shares out a machine's memory, descriptors and disk, with the terms' bounds on calls and records. */
-    public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int holdingRoom,
-            long connectTimeout, long idleClose) {
-        int descriptors = Math.max(64, sockets - 48); // the program's own: jar, selectors, journal, log
-        int calls = Math.max(8, Math.min(descriptors / 2, 8 * slots));
-        int coming = 16; // accepted and not yet looked at
-        int clients = Math.max(16, Math.min(descriptors - calls - 8 - coming, memoryMb * 2));
-        long disk = Math.max(64 << 10, (long) (diskMb * 1_000_000) - (16 << 10));
-        int remembered = (int) Math.min(16 * 1024, disk / 8 / 160);
+    /**
+     * Divides the granted memory (MB), file descriptors and disk (MB) among the node's parts, within the delivery settings'
+     * limits on concurrent calls (slots) and on records held. The connect and idle time-outs are in microseconds.
+     */
+    public static Limits fromResources(int memoryMb, int sockets, double diskMb, int slots, int maxPendingRecords,
+            long connectTimeout, long idleTimeout) {
+        int descriptors = Math.max(64, sockets - 48); // 48 for the process itself: jar, selectors, journal, log
+        int endpointConnections = Math.max(8, Math.min(descriptors / 2, 8 * slots));
+        int pendingConnections = 16; // accepted by the listener, not yet handled
+        int clientConnections = Math.max(16, Math.min(descriptors - endpointConnections - 8 - pendingConnections, memoryMb * 2));
+        long journalBytes = Math.max(64 << 10, (long) (diskMb * 1_000_000) - (16 << 10));
+        int endedRecords = (int) Math.min(16 * 1024, journalBytes / 8 / 160);
         return new Limits(64 << 10, 2 << 20, 8 << 10, 64, 200, 4 << 10,
-                clients * 7 / 8, clients / 8, coming, 256, calls, Math.max(4, calls / 8),
-                1024, 256, holdingRoom, memoryMb * 1_000_000L / 8, remembered,
-                disk, disk / 8,
-                connectTimeout, idleClose <= 0 ? 0 : idleClose * 4 / 5, 10_000, 1_000_000,
+                clientConnections * 7 / 8, clientConnections / 8, pendingConnections, 256, endpointConnections,
+                Math.max(4, endpointConnections / 8),
+                1024, 256, maxPendingRecords, memoryMb * 1_000_000L / 8, endedRecords,
+                journalBytes, journalBytes / 8,
+                connectTimeout, idleTimeout <= 0 ? 0 : idleTimeout * 4 / 5, 10_000, 1_000_000,
                 2_000_000, 2_600_000, 3_000_000, 2_000_000, 2_100_000, 50_000, 8, 8 << 20, 350_000,
                 2_000_000, 700_000, 3, 200_000, 1_000_000, 1_500_000, 1_000_000,
                 86_400_000_000L, 100_000, 100_000, 500_000, 1_000_000,
--- a/src/main/java/terndyke/node/NodeClock.java
+++ b/src/main/java/terndyke/node/NodeClock.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The node's clock in whole microseconds: the wall clock at its start, carried on by the monotonic one. */
+/** The node's clock in whole microseconds since the epoch: the wall clock at its start, advanced by the monotonic clock. */
 public final class NodeClock {
     private final long wallClockAtStartMicros;
     private final long monotonicAtStartNanos = System.nanoTime();
 
     public NodeClock() {
-        Duration since = Duration.between(Instant.EPOCH, Instant.now());
-        wallClockAtStartMicros = since.getSeconds() * 1_000_000 + since.getNano() / 1000;
+        Duration sinceEpoch = Duration.between(Instant.EPOCH, Instant.now());
+        wallClockAtStartMicros = sinceEpoch.getSeconds() * 1_000_000 + sinceEpoch.getNano() / 1000;
     }
 
     public long now() {
--- a/src/main/java/terndyke/node/NodeConfiguration.java
+++ b/src/main/java/terndyke/node/NodeConfiguration.java
@@ -13,82 +13,91 @@
 import terndyke.api.DeliverySettings;
 import terndyke.node.http.ConnectionPool;
 
-/** What a node is told at its start: who and where it is, what it may use, and the delivery terms. */
-public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, Path stateDirectory, Limits limits,
-        Map<String, String> knownEndpoints, DeliverySettings deliverySettings, List<String> gradeNames, List<String> tenantNames, List<String> zoneNames,
-        List<String> endpointKinds, List<String> reportFields) {
+/** The configuration of a node: its name, addresses and state directory, its limits, and the delivery settings. */
+public record NodeConfiguration(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress,
+        Path stateDirectory, Limits limits, Map<String, String> knownEndpoints, DeliverySettings deliverySettings,
+        List<String> gradeNames, List<String> tenantNames, List<String> zoneNames, List<String> endpointKinds,
+        List<String> reportFields) {
 
-    /** Where the program was told to look; what is null is taken from the file. */
-    public record StartupOptions(String configurationFile, String name, String listenAddress, String discoveryAddress, String stateDirectory) { }
+    /**
+     * Values given on the command line or in the environment. They override the configuration file; null means not given.
+     */
+    public record StartupOptions(String configurationFile, String name, String listenAddress, String discoveryAddress,
+            String stateDirectory) { }
 
-    /** Reads a node's configuration; an IOException says in one line what is wrong with it. */
-    public static NodeConfiguration read(StartupOptions place) throws IOException {
-        if (place.configurationFile() == null) {
-            throw new IOException("no configuration file is named");
+    /** Reads a node's configuration; the IOException says in one line what is wrong with it. */
+    public static NodeConfiguration read(StartupOptions options) throws IOException {
+        if (options.configurationFile() == null) {
+            throw new IOException("no configuration file given");
         }
-        if (place.stateDirectory() == null) {
-            throw new IOException("no folder for what must last is named");
+        if (options.stateDirectory() == null) {
+            throw new IOException("no state directory given");
         }
         try {
-            return read(Files.readAllBytes(Path.of(place.configurationFile())), place);
+            return read(Files.readAllBytes(Path.of(options.configurationFile())), options);
         } catch (IOException e) {
-            throw new IOException("configuration " + place.configurationFile() + " cannot be read: " + e.getMessage(), e);
+            throw new IOException("cannot read configuration " + options.configurationFile() + ": " + e.getMessage(), e);
         }
     }
 
-    static NodeConfiguration read(byte[] json, StartupOptions place) throws IOException {
+    static NodeConfiguration read(byte[] json, StartupOptions options) throws IOException {
         try {
-            return read(FlatJson.read(json), place);
+            return read(FlatJson.read(json), options);
         } catch (InvalidInputException | IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static NodeConfiguration read(Map<String, String> told, StartupOptions place) throws IOException, InvalidInputException {
-        Map<String, String> settings = FlatJson.subtree("settings", told);
-        settings.computeIfPresent("familyInfo.perCall", (key, each) -> each.replaceAll("\\d+", "1")); // one a call
-        String seed = told.getOrDefault("seed", "0");
-        DeliverySettings terms = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
-        Limits limits = Limits.fromResources((int) readNumber(told, "limits.memory_mb", 192),
-                (int) readNumber(told, "limits.sockets", 1024), readNumber(told, "limits.disk_mb", 3), terms.slots(),
-                terms.maxPendingRecords(), readSecondsAsMicros(settings, "ceilings.connectTimeout", 1), terms.idleConnectionTimeout());
-        return new NodeConfiguration(place.name() != null ? place.name() : told.getOrDefault("name", "node"),
-                parseAddress(place.listenAddress() != null ? place.listenAddress() : told.get("listen"), "listen"),
-                parseAddress(place.discoveryAddress() != null ? place.discoveryAddress()
-                        : told.getOrDefault("discovery", System.getenv("NODE_DISCOVERY")), "discovery"),
-                Path.of(place.stateDirectory()), limits, FlatJson.subtree("known", told), terms, readNames(settings, "classes"),
+    private static NodeConfiguration read(Map<String, String> values, StartupOptions options)
+            throws IOException, InvalidInputException {
+        Map<String, String> settings = FlatJson.subtree("settings", values);
+        // this node sends one record per call
+        settings.computeIfPresent("familyInfo.perCall", (key, perCall) -> perCall.replaceAll("\\d+", "1"));
+        String seed = values.getOrDefault("seed", "0");
+        DeliverySettings deliverySettings = DeliverySettingsReader.read(Long.parseUnsignedLong(seed, 16), settings, true);
+        Limits limits = Limits.fromResources((int) readNumber(values, "limits.memory_mb", 192),
+                (int) readNumber(values, "limits.sockets", 1024), readNumber(values, "limits.disk_mb", 3),
+                deliverySettings.slots(), deliverySettings.maxPendingRecords(),
+                readSecondsAsMicros(settings, "ceilings.connectTimeout", 1),
+                deliverySettings.idleConnectionTimeout());
+        return new NodeConfiguration(options.name() != null ? options.name() : values.getOrDefault("name", "node"),
+                parseAddress(options.listenAddress() != null ? options.listenAddress() : values.get("listen"), "listen"),
+                parseAddress(options.discoveryAddress() != null ? options.discoveryAddress()
+                        : values.getOrDefault("discovery", System.getenv("NODE_DISCOVERY")), "discovery"),
+                Path.of(options.stateDirectory()), limits, FlatJson.subtree("known", values), deliverySettings,
+                readNames(settings, "classes"),
                 readNames(settings, "tenants"), readList(settings, "dcs"), readList(settings, "kinds"),
                 readList(settings, "report.fields"));
     }
 
-    /** The same with another address of discovery, which is all that a running node takes up anew. */
+    /** A copy with another address of discovery, the only value that a running node reloads. */
     NodeConfiguration withDiscoveryAddress(InetSocketAddress address) {
-        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings, gradeNames, tenantNames, zoneNames, endpointKinds,
-                reportFields);
+        return new NodeConfiguration(name, listenAddress, address, stateDirectory, limits, knownEndpoints, deliverySettings,
+                gradeNames, tenantNames, zoneNames, endpointKinds, reportFields);
     }
 
-    private static InetSocketAddress parseAddress(String text, String what) throws IOException {
+    private static InetSocketAddress parseAddress(String text, String fieldName) throws IOException {
         InetSocketAddress address = ConnectionPool.parseAddress(text);
         if (address == null) {
-            throw new IOException("the " + what + " address cannot be read: " + text);
+            throw new IOException("invalid " + fieldName + " address: " + text);
         }
         return address;
     }
 
-    private static double readNumber(Map<String, String> values, String key, double absent) {
+    private static double readNumber(Map<String, String> values, String key, double defaultValue) {
         String value = values.get(key);
-        return value == null ? absent : Double.parseDouble(value);
+        return value == null ? defaultValue : Double.parseDouble(value);
     }
 
-    private static long readSecondsAsMicros(Map<String, String> values, String key, double absent) {
-        return Math.round(readNumber(values, key, absent) * 1e6);
+    private static long readSecondsAsMicros(Map<String, String> values, String key, double defaultValue) {
+        return Math.round(readNumber(values, key, defaultValue) * 1e6);
     }
 
-    private static List<String> readNames(Map<String, String> settings, String of) {
+    private static List<String> readNames(Map<String, String> settings, String key) {
         List<String> names = new ArrayList<>();
-        int count = (int) readNumber(settings, of + ".count", 0);
+        int count = (int) readNumber(settings, key + ".count", 0);
         for (int i = 0; i < count; i++) {
-            names.add(settings.getOrDefault(of + "." + i + ".name", Integer.toString(i)));
+            names.add(settings.getOrDefault(key + "." + i + ".name", Integer.toString(i)));
         }
         return List.copyOf(names);
     }
--- a/src/main/java/terndyke/node/SlowTurnDetector.java
+++ b/src/main/java/terndyke/node/SlowTurnDetector.java
@@ -5,12 +5,13 @@
 import terndyke.node.Counters.Counter;
 
 /**
- * Measures each turn of the decision thread, and says of slow ones what took the time: words taken in, timers, the
- * module, carrying out its actions (journal included), or sweeping. One line a second at most; the slowest of those that
- * were not told goes into the next one. Told times, it has no clock; of the decision thread alone.
+ * Measures each turn of the decision thread and reports which phase of a slow turn took the time: handling events, timers,
+ * the decision module, performing its actions (journal writes included), or the periodic sweep. At most one line is
+ * reported per log interval; it describes the slowest turn since the previous line. The times are passed in by the caller.
+ * Not thread-safe: used by the decision thread only.
  */
 public final class SlowTurnDetector {
-    /** What a turn is doing. */
+    /** The phases of a turn, logged by name in lower case; WORDS is the handling of queued events. */
     public enum Phase { WORDS, TIMERS, MODULE, ACTIONS, SWEEP }
 
     private final long thresholdMicros;
@@ -25,10 +26,10 @@
     private String slowestDescription;
     private long lastReportedAt = Long.MIN_VALUE;
 
-    /** Both times in microseconds: from when on a turn is slow, and between two lines. */
-    public SlowTurnDetector(long slow, long lineEvery, Counters counters) {
-        this.thresholdMicros = slow;
-        this.logIntervalMicros = lineEvery;
+    /** Both times in microseconds: the duration from which a turn is slow, and the minimum time between two log lines. */
+    public SlowTurnDetector(long thresholdMicros, long logIntervalMicros, Counters counters) {
+        this.thresholdMicros = thresholdMicros;
+        this.logIntervalMicros = logIntervalMicros;
         this.counters = counters;
     }
 
@@ -39,54 +40,55 @@
         java.util.Arrays.fill(phaseMicros, 0);
     }
 
-    /** A record has waited so long for this turn, since it was read off its socket. */
-    public void measureQueueWait(long micros) {
+    /** Reports how long a request waited for this turn after it was read from its socket. */
+    public void recordQueueWait(long micros) {
         counters.recordMaximum(Counter.LONGEST_WAIT, micros);
     }
 
-    /** So many words have been taken in, in the time since the last one was told. */
-    public void endEventPhase(int many, long now) {
-        eventCount = many;
+    /** Ends the phase in which events were handled, with their number. */
+    public void endEventPhase(int count, long now) {
+        eventCount = count;
         endPhase(Phase.WORDS, now);
     }
 
-    /** What has passed since the last word was spent so. Outside a turn nothing is measured. */
-    public void endPhase(Phase doing, long now) {
+    /** Attributes the time since the previous phase ended to the given phase. Outside a turn nothing is measured. */
+    public void endPhase(Phase phase, long now) {
         if (turnStartedAt >= 0) {
-            phaseMicros[doing.ordinal()] += now - phaseStartedAt;
+            phaseMicros[phase.ordinal()] += now - phaseStartedAt;
             phaseStartedAt = now;
         }
     }
 
-    /** The turn is over; returns a line for the log, or null. */
+    /** Ends the turn; returns a line for the log, or null. */
     public String endTurn(long now) {
-        long took = now - turnStartedAt;
+        long durationMicros = now - turnStartedAt;
         turnStartedAt = -1;
-        counters.recordMaximum(Counter.LONGEST_TURN, took);
-        if (took >= thresholdMicros) {
+        counters.recordMaximum(Counter.LONGEST_TURN, durationMicros);
+        if (durationMicros >= thresholdMicros) {
             counters.add(Counter.SLOW_TURNS);
             unreportedTurns++;
-            if (took > slowestUnreportedMicros) {
-                slowestUnreportedMicros = took;
-                slowestDescription = describeTurn(took);
+            if (durationMicros > slowestUnreportedMicros) {
+                slowestUnreportedMicros = durationMicros;
+                slowestDescription = describeTurn(durationMicros);
             }
         }
         if (unreportedTurns == 0 || lastReportedAt != Long.MIN_VALUE && now < lastReportedAt + logIntervalMicros) {
             return null;
         }
-        String told = slowestDescription + (unreportedTurns > 1 ? ", the slowest of " + unreportedTurns : "");
+        String line = slowestDescription + (unreportedTurns > 1 ? ", the slowest of " + unreportedTurns : "");
         lastReportedAt = now;
         unreportedTurns = 0;
         slowestUnreportedMicros = 0;
-        return told;
+        return line;
     }
 
-    private String describeTurn(long took) {
-        StringBuilder text = new StringBuilder("slow turn: ").append(took / 1000).append(" ms, ").append(eventCount).append(" words");
-        for (Phase doing : Phase.values()) {
-            if (phaseMicros[doing.ordinal()] >= 1_000) {
-                text.append(", ").append(doing.name().toLowerCase(Locale.ROOT)).append(' ')
-                        .append(phaseMicros[doing.ordinal()] / 1000).append(" ms");
+    private String describeTurn(long durationMicros) {
+        StringBuilder text = new StringBuilder("slow turn: ").append(durationMicros / 1000).append(" ms, ").append(eventCount)
+                .append(" words");
+        for (Phase phase : Phase.values()) {
+            if (phaseMicros[phase.ordinal()] >= 1_000) {
+                text.append(", ").append(phase.name().toLowerCase(Locale.ROOT)).append(' ')
+                        .append(phaseMicros[phase.ordinal()] / 1000).append(" ms");
             }
         }
         return text.toString();
--- a/src/main/java/terndyke/node/WarmUp.java
+++ b/src/main/java/terndyke/node/WarmUp.java
@@ -18,78 +18,80 @@
 import terndyke.node.http.Reactor;
 
 /**
- * Goes the ways that every record goes before clients come, for a bounded time, so that the compiler has seen them.
- * Guards against a cold node on part of a core that answers late, is asked again for it, and so never warms; it makes
- * the start longer by its bounds at most. Nothing of it is kept.
+ * Exercises the code paths of a delivery before clients are served, for a bounded time, so that the JIT compiler has
+ * seen them. Without it a cold node on a fraction of a core answers late, receives repeated requests because of that,
+ * and so never warms up. It lengthens the start by its time limits at most, and leaves no state behind.
  */
 final class WarmUp {
     private static final int MAX_ITERATIONS = 400;
     private static final int ITERATIONS_PER_YIELD = 20;
-    private static final long YIELD_NANOS = 100_000; // nanoseconds
+    private static final long YIELD_NANOS = 100_000;
     private static final float[] NO_REPORT = new float[0];
 
     private WarmUp() { }
 
-    /** A dispatcher of its own takes and delivers records that nobody handed in. */
-    static void warmUpDispatcher(NodeConfiguration charter, long within) {
-        warmUpDispatcher(charter, within, () -> LockSupport.parkNanos(YIELD_NANOS));
+    /** Lets a separate dispatcher accept and deliver synthetic records. */
+    static void warmUpDispatcher(NodeConfiguration configuration, long timeoutMicros) {
+        warmUpDispatcher(configuration, timeoutMicros, () -> LockSupport.parkNanos(YIELD_NANOS));
     }
 
     /**
-     * Gives way after each stretch. Guards against a machine on which many nodes start at once: this was the longest
-     * time for which a node neither waited nor ended, 150 ms of a core, and a hundred of them on one core stood still
-     * for everybody else, watchers of hung processes among them. It costs some milliseconds of the start.
+     * Yields the processor regularly, for machines on which many nodes start at once. Without that the warm-up was the
+     * longest time for which a node computed without a pause (150 ms of a core), and a hundred nodes on one core blocked
+     * all other processes, including watchdogs for hung processes. The pauses lengthen the start by some milliseconds.
      */
-    static void warmUpDispatcher(NodeConfiguration charter, long within, Runnable giveWay) {
-        long until = System.nanoTime() + within * 1000;
-        Dispatcher dispatcher = new Dispatcher(charter.deliverySettings());
+    static void warmUpDispatcher(NodeConfiguration configuration, long timeoutMicros, Runnable pause) {
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1000;
+        Dispatcher dispatcher = new Dispatcher(configuration.deliverySettings());
         List<Event> events = new ArrayList<>();
-        List<ListedEndpoint> list = new ArrayList<>();
+        List<ListedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            list.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
+            endpoints.add(new ListedEndpoint(i, 0, 0, 1, ListedEndpoint.EndpointState.READY, 0, i / 2));
         }
-        events.add(new Event.ListReceived(list, true));
-        for (int i = 1; i <= MAX_ITERATIONS && System.nanoTime() < until; i++) {
+        events.add(new Event.ListReceived(endpoints, true));
+        for (int i = 1; i <= MAX_ITERATIONS && System.nanoTime() < deadlineNanos; i++) {
             if (i % ITERATIONS_PER_YIELD == 0) {
-                giveWay.run();
+                pause.run();
             }
-            events.add(new Event.RecordAccepted(i, i % charter.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0, i % 3, false,
-                    false, false));
+            events.add(new Event.RecordAccepted(i, i % configuration.deliverySettings().grades().size(), 0, i % 20, 3_000_000, 0,
+                    i % 3, false, false, false));
             events.add(new Event.TimerExpired(0));
             List<Action> actions = dispatcher.handleEvents(i * 10_000L, events);
             events = new ArrayList<>();
             for (Action action : actions) {
-                if (action instanceof Action.SendShot shoot) {
+                if (action instanceof Action.SendShot sendShot) {
                     Ending ending = i % 5 == 0 ? Ending.FULL : Ending.DONE;
-                    events.add(new Event.ShotEnded(shoot.id(), 0, shoot.endpoint(), ending, 9_000, 0, false,
+                    events.add(new Event.ShotEnded(sendShot.id(), 0, sendShot.endpoint(), ending, 9_000, 0, false,
                             ending == Ending.DONE, NO_REPORT));
                 }
             }
         }
     }
 
-    /** The node asks itself for its health, which it answers as it does anybody. */
-    static void warmUpHttp(NodeConfiguration charter, Reactor reactor, NodeClock clock, InetSocketAddress self, long within) {
+    /** Sends health requests to the node's own listener, which handles them like those of any client. */
+    static void warmUpHttp(NodeConfiguration configuration, Reactor reactor, NodeClock clock,
+            InetSocketAddress listenAddress, long timeoutMicros) {
         BlockingQueue<Call.Result> results = new LinkedBlockingQueue<>();
-        BlockingQueue<ConnectionPool.PooledConnection> free = new LinkedBlockingQueue<>();
-        ConnectionPool calls = new ConnectionPool(reactor, charter.limits(), new Counters(), clock::now, free::add);
-        ConnectionPool.Peer peer = new ConnectionPool.Peer(self);
+        BlockingQueue<ConnectionPool.PooledConnection> releasedConnections = new LinkedBlockingQueue<>();
+        ConnectionPool connectionPool = new ConnectionPool(reactor, configuration.limits(), new Counters(), clock::now,
+                releasedConnections::add);
+        ConnectionPool.Peer peer = new ConnectionPool.Peer(listenAddress);
         Call call = new Call("GET", "/_health", new String[] {"Host", peer.hostHeader()}, new byte[0]);
-        long until = System.nanoTime() + within * 1000;
+        long deadlineNanos = System.nanoTime() + timeoutMicros * 1000;
         try {
-            for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < until; i++) {
-                ConnectionPool.PooledConnection line = calls.startCall(peer, call, clock.now(), results::add);
-                if (line == null || results.poll(within, TimeUnit.MICROSECONDS) == null) {
+            for (int i = 0; i < MAX_ITERATIONS && System.nanoTime() < deadlineNanos; i++) {
+                ConnectionPool.PooledConnection connection = connectionPool.startCall(peer, call, clock.now(), results::add);
+                if (connection == null || results.poll(timeoutMicros, TimeUnit.MICROSECONDS) == null) {
                     break;
                 }
-                line = free.poll(within, TimeUnit.MICROSECONDS);
-                if (line != null) {
-                    calls.release(line, clock.now());
+                connection = releasedConnections.poll(timeoutMicros, TimeUnit.MICROSECONDS);
+                if (connection != null) {
+                    connectionPool.release(connection, clock.now());
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        calls.removePeer(peer);
+        connectionPool.removePeer(peer);
     }
 }
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -29,18 +29,22 @@
 import terndyke.node.http.Reactor;
 import terndyke.node.journal.JournalEntry;
 
-/** The decision thread: owns the dispatcher and all records, and passes each through the stages in order. */
+/**
+ * The event loop of the decision thread. It owns the dispatcher (the decision module) and all records, and passes each
+ * record through the stages in order. One iteration is called a turn: it handles the queued events and due timers, runs
+ * the dispatcher on what they reported, and performs the actions that the dispatcher asks for.
+ */
 public final class DecisionLoop implements Runnable {
     private final Limits limits;
     private final Counters counters;
     private final NodeLog log;
     private final NodeClock clock;
     private final LinkedBlockingQueue<LoopEvent> eventQueue;
-    private final AtomicInteger queuedRecordCount = new AtomicInteger();
+    private final AtomicInteger queuedRequestCount = new AtomicInteger();
     private final TimerQueue timers = new TimerQueue();
-    private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // taken in this turn
-    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // of which the module is still to hear
-    private final List<ClientRequest> deferredRequests = new ArrayList<>(); // handed in before the first turn of the module
+    private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // admitted in this turn, not yet in the journal
+    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // not yet passed to the decision module
+    private final List<ClientRequest> deferredRequests = new ArrayList<>(); // received before discovery was resolved
     private final IntakeStage intakeStage;
     private final AdmissionStage admissionStage;
     private final DecisionStage decisionStage;
@@ -55,37 +59,41 @@
     private final int gradeCount;
     private long nextSweepAt;
     private long shutdownDeadline = Long.MAX_VALUE;
-    private final CountDownLatch discoveryResolved = new CountDownLatch(1); // what discovery has to tell is known, or it is silent
-    private final CountDownLatch firstTurnDone = new CountDownLatch(1); // and the module has had its first turn with it
-    private volatile boolean finished; // no more turns
-    private volatile boolean stopped; // not even where a turn takes too long
-    private volatile boolean queueClosed; // nothing more is taken from the inbox
+    private final CountDownLatch discoveryResolved = new CountDownLatch(1); // the first call to discovery has completed or failed
+    private final CountDownLatch firstTurnDone = new CountDownLatch(1); // the decision module has run once after that
+    private volatile boolean finished; // set by the decision thread: no more turns
+    private volatile boolean stopped; // set by stop(), even while a turn takes too long
+    private volatile boolean queueClosed; // requests added from now on may not be polled any more
 
-    public DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
-            NodeLog log) {
-        this(charter, reactor, catalogue, book, clock, counters, log, new LinkedBlockingQueue<>());
+    public DecisionLoop(NodeConfiguration configuration, Reactor reactor, EndpointRegistry endpointRegistry,
+            RecordStore recordStore, NodeClock clock, Counters counters, NodeLog log) {
+        this(configuration, reactor, endpointRegistry, recordStore, clock, counters, log, new LinkedBlockingQueue<>());
     }
 
-    DecisionLoop(NodeConfiguration charter, Reactor reactor, EndpointRegistry catalogue, RecordStore book, NodeClock clock, Counters counters,
-            NodeLog log, LinkedBlockingQueue<LoopEvent> inbox) {
-        this.eventQueue = inbox;
-        this.limits = charter.limits();
+    DecisionLoop(NodeConfiguration configuration, Reactor reactor, EndpointRegistry endpointRegistry, RecordStore recordStore,
+            NodeClock clock, Counters counters, NodeLog log, LinkedBlockingQueue<LoopEvent> eventQueue) {
+        this.eventQueue = eventQueue;
+        this.limits = configuration.limits();
         this.counters = counters;
         this.log = log;
         this.clock = clock;
-        this.recordStore = book;
-        this.endpointRegistry = catalogue;
-        this.keyQuietMicros = charter.deliverySettings().keyQuietPeriod();
-        this.gradeCount = charter.deliverySettings().grades().size();
+        this.recordStore = recordStore;
+        this.endpointRegistry = endpointRegistry;
+        this.keyQuietMicros = configuration.deliverySettings().keyQuietPeriod();
+        this.gradeCount = configuration.deliverySettings().grades().size();
         slowTurnDetector = new SlowTurnDetector(limits.slowTurnThresholdMicros(), limits.slowTurnLogIntervalMicros(), counters);
-        connectionPool = new ConnectionPool(reactor, limits, counters, clock::now, line -> post(new LoopEvent.ConnectionReleased(line)));
-        decisionStage = new DecisionStage(new Dispatcher(charter.deliverySettings()));
-        intakeStage = new IntakeStage(book.lastRecordNumber());
-        admissionStage = new AdmissionStage(limits, counters, catalogue, book);
-        sendStage = new SendStage(limits, counters, catalogue, connectionPool, decisionStage, book, timers, charter.reportFields(), log, this);
-        notificationStage = new NotificationStage(limits, counters, charter.discoveryAddress(), connectionPool, decisionStage, book, timers, log, this);
-        watch = new Watch(limits, charter.discoveryAddress(), catalogue, connectionPool, log, charter.deliverySettings().listOnRequest(),
-                new Random(charter.deliverySettings().seed()), (round, result) -> post(new LoopEvent.WatchCompleted(round, result)));
+        connectionPool = new ConnectionPool(reactor, limits, counters, clock::now,
+                connection -> post(new LoopEvent.ConnectionReleased(connection)));
+        decisionStage = new DecisionStage(new Dispatcher(configuration.deliverySettings()));
+        intakeStage = new IntakeStage(recordStore.lastRecordNumber());
+        admissionStage = new AdmissionStage(limits, counters, endpointRegistry, recordStore);
+        sendStage = new SendStage(limits, counters, endpointRegistry, connectionPool, decisionStage, recordStore, timers,
+                configuration.reportFields(), log, this);
+        notificationStage = new NotificationStage(limits, counters, configuration.discoveryAddress(), connectionPool,
+                decisionStage, recordStore, timers, log, this);
+        watch = new Watch(limits, configuration.discoveryAddress(), endpointRegistry, connectionPool, log,
+                configuration.deliverySettings().listOnRequest(), new Random(configuration.deliverySettings().seed()),
+                (callNumber, result) -> post(new LoopEvent.WatchCompleted(callNumber, result)));
     }
 
     public long now() {
@@ -93,63 +101,71 @@
     }
 
     /**
-     * Hands a record over from the I/O thread; false where too many wait already, or the desk takes no more. One that
-     * comes while the desk ends is either seen by its last look or taken back here, so that it has one answer.
+     * Queues a client's request; called on the I/O thread. Returns false if the queue is full or the loop has ended. A
+     * request that arrives while the loop is ending is either handled by its final drain of the queue or removed here, so
+     * that it is answered exactly once.
      */
-    public boolean offerRequest(ClientRequest handover) {
-        if (finished || stopped || queuedRecordCount.get() >= limits.requestQueueCapacity()) {
+    public boolean offerRequest(ClientRequest request) {
+        if (finished || stopped || queuedRequestCount.get() >= limits.requestQueueCapacity()) {
             return false;
         }
-        LoopEvent word = new LoopEvent.RequestReceived(handover);
-        queuedRecordCount.incrementAndGet();
-        eventQueue.add(word);
-        return !queueClosed || !eventQueue.remove(word);
+        LoopEvent event = new LoopEvent.RequestReceived(request);
+        queuedRequestCount.incrementAndGet();
+        eventQueue.add(event);
+        return !queueClosed || !eventQueue.remove(event);
     }
 
-    /** No more is taken in, though the desk's last turn may take long. */
+    /** Accepts no more requests and runs no further turn, even if the current turn takes long. */
     public void stop() {
         stopped = true;
     }
 
-    /** Waits until what discovery has to tell is known, or it is silent, and the last life's records have been decided on. */
+    /**
+     * Waits until the first call to discovery has completed or failed and the decision module has handled the records of
+     * the previous run, at most for the given time.
+     */
     public void awaitFirstTurn(long micros) throws InterruptedException {
         firstTurnDone.await(micros, TimeUnit.MICROSECONDS);
     }
 
-    /** Tells the decision thread something; calls and probes that are out bound how much of this can wait. */
-    public void post(LoopEvent word) {
-        eventQueue.add(word);
+    /** Queues an event from any thread. The number of calls and probes in flight limits how many events can be queued. */
+    public void post(LoopEvent event) {
+        eventQueue.add(event);
     }
 
     /**
-     * The list as it was last held, and what the last life owed, before the thread starts. The list may be old, and what
-     * discovery has counts as told: the first turn of the module waits until it has been asked.
+     * Restores the last known list and the unfinished records of the previous run; called before the thread starts. The
+     * list may be out of date, and whatever discovery publishes counts as known to the node: the first turn of the
+     * decision module waits until discovery has been asked.
      */
-    public void restore(Event.ListReceived known, Collection<TrackedRecord> records) {
-        decisionStage.addEvent(known);
-        for (TrackedRecord owed : List.copyOf(records)) {
-            counters.add(Counter.RESTORED, owed.noticeSettled ? 0 : 1);
-            if (owed.entry.grade() >= gradeCount) {
-                log.warn("journal: a record of an unknown service grade, ended without its delivery");
-                notificationStage.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
+    public void restore(Event.ListReceived knownList, Collection<TrackedRecord> records) {
+        decisionStage.addEvent(knownList);
+        for (TrackedRecord record : List.copyOf(records)) {
+            counters.add(Counter.RESTORED, record.noticeSettled ? 0 : 1);
+            if (record.entry.grade() >= gradeCount) {
+                log.warn("journal: record has an unknown service grade, terminated without delivery");
+                notificationStage.endRecord(record, JournalEntry.RecordOutcome.TERMINATED, 0);
                 continue;
             }
-            recoveredRecords.add(owed);
-            if (!owed.isOpen()) {
-                notificationStage.restore(owed);
+            recoveredRecords.add(record);
+            if (!record.isOpen()) {
+                notificationStage.restore(record);
             }
         }
         notificationStage.sendPendingNotices(now());
     }
 
-    /** The module hears of records by the time that is left, so it hears of them only in the turn that it acts in. */
+    /**
+     * Passes restored and deferred records to the decision module once the first call to discovery has completed or
+     * failed. Not earlier, since the events state the time remaining at the moment at which the module acts on them.
+     */
     private void beginOnceDiscoveryResolved(long now) {
         if (isDiscoveryResolved() || !watch.hasCompletedFirstCall()) {
             return;
         }
-        recoveredRecords.forEach(owed -> sendStage.restore(owed, now));
+        recoveredRecords.forEach(record -> sendStage.restore(record, now));
         recoveredRecords.clear();
-        deferredRequests.forEach(handover -> handleClientRequest(handover, now));
+        deferredRequests.forEach(request -> handleClientRequest(request, now));
         deferredRequests.clear();
         discoveryResolved.countDown();
     }
@@ -162,7 +178,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (Exception | OutOfMemoryError e) {
-                log.warn("decision thread", e);
+                log.warn("decision thread: turn failed, its new records are refused", e);
                 refuseNewRecords();
             }
         }
@@ -170,48 +186,50 @@
     }
 
     /**
-     * Whoever was read in the last moments is refused too, before the connections close: nobody is left unanswered. What
-     * has ended by now is booked, so that the next life does not send it again.
+     * Refuses the requests that were read in the last moments before the connections close, so that every client gets
+     * an answer. Shots that have ended by now are journalled, so that the next run does not repeat them.
      */
     private void refuseRemaining() {
         refuseNewRecords();
-        deferredRequests.forEach(handover -> handover.responder().refused(0));
+        deferredRequests.forEach(request -> request.responder().refused(0));
         try {
-            for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
-                handleAtShutdown(word);
+            for (LoopEvent event = eventQueue.poll(); event != null;
+                    event = eventQueue.poll(limits.finalEventPollMicros(), TimeUnit.MICROSECONDS)) {
+                handleAtShutdown(event);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         queueClosed = true;
-        for (LoopEvent word = eventQueue.poll(); word != null; word = eventQueue.poll()) {
-            handleAtShutdown(word);
+        for (LoopEvent event = eventQueue.poll(); event != null; event = eventQueue.poll()) {
+            handleAtShutdown(event);
         }
         connectionPool.close();
     }
 
-    private void handleAtShutdown(LoopEvent word) {
-        if (word instanceof LoopEvent.RequestReceived handed) {
+    private void handleAtShutdown(LoopEvent event) {
+        if (event instanceof LoopEvent.RequestReceived requestReceived) {
             counters.add(Counter.REFUSED_AT_DOOR);
-            handed.clientRequest().responder().refused(0);
-        } else if (word instanceof LoopEvent.ShotCompleted shot) {
-            sendStage.handleResult(shot);
+            requestReceived.clientRequest().responder().refused(0);
+        } else if (event instanceof LoopEvent.ShotCompleted shotCompleted) {
+            sendStage.handleResult(shotCompleted);
         }
     }
 
     private void runTurn() throws InterruptedException {
         long now = now();
-        long next = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
+        long wakeUpAt = Math.min(timers.nextDueAt(now + limits.maxPollWaitMicros()), watch.dueAt());
         beginOnceDiscoveryResolved(now);
-        LoopEvent word = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0 : Math.max(0, next - now), TimeUnit.MICROSECONDS);
+        LoopEvent event = eventQueue.poll(decisionStage.hasPendingEvents() && isDiscoveryResolved() ? 0
+                : Math.max(0, wakeUpAt - now), TimeUnit.MICROSECONDS);
         now = now();
         slowTurnDetector.beginTurn(now);
-        int words = 0;
-        while (word != null) {
-            handleEvent(word, now);
-            word = words++ < limits.maxEventsPerTurn() ? eventQueue.poll() : null;
+        int eventCount = 0;
+        while (event != null) {
+            handleEvent(event, now);
+            event = eventCount++ < limits.maxEventsPerTurn() ? eventQueue.poll() : null;
         }
-        slowTurnDetector.endEventPhase(words, now());
+        slowTurnDetector.endEventPhase(eventCount, now());
         timers.runDue(now);
         slowTurnDetector.endPhase(Phase.TIMERS, now());
         watch.runDueActions(now);
@@ -233,49 +251,51 @@
             recordStore.compactIfNeeded();
             slowTurnDetector.endPhase(Phase.SWEEP, now());
         }
-        String slow = slowTurnDetector.endTurn(now());
-        if (slow != null) {
-            log.warn(slow);
+        String slowTurnReport = slowTurnDetector.endTurn(now());
+        if (slowTurnReport != null) {
+            log.warn(slowTurnReport);
         }
-        // not at once where nothing is held: clients that do not know yet still come, and are owed an answer
-        finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0 && !notificationStage.hasPendingNotices()
+        // even with no record held the loop goes on for a minimum time: clients that do not know of the shutdown yet still
+        // send requests, which must be answered
+        finished = now >= shutdownDeadline || shutdownDeadline < Long.MAX_VALUE && recordStore.heldOrAdmittedCount() == 0
+                && !notificationStage.hasPendingNotices()
                 && now >= shutdownDeadline - limits.shutdownGracePeriodMicros() + limits.minShutdownMicros();
     }
 
-    private void handleEvent(LoopEvent word, long now) {
-        if (word instanceof LoopEvent.RequestReceived handed) {
-            queuedRecordCount.decrementAndGet();
-            slowTurnDetector.measureQueueWait(now - handed.clientRequest().receivedAt());
+    private void handleEvent(LoopEvent event, long now) {
+        if (event instanceof LoopEvent.RequestReceived requestReceived) {
+            queuedRequestCount.decrementAndGet();
+            slowTurnDetector.recordQueueWait(now - requestReceived.clientRequest().receivedAt());
             if (isDiscoveryResolved()) {
-                handleClientRequest(handed.clientRequest(), now);
+                handleClientRequest(requestReceived.clientRequest(), now);
             } else if (deferredRequests.size() < limits.requestQueueCapacity()) {
-                deferredRequests.add(handed.clientRequest());
+                deferredRequests.add(requestReceived.clientRequest());
             } else {
                 counters.add(Counter.REFUSED_AT_DOOR);
-                handed.clientRequest().responder().refused(0);
+                requestReceived.clientRequest().responder().refused(0);
             }
-        } else if (word instanceof LoopEvent.ShotCompleted shot) {
-            sendStage.handleResult(shot);
-        } else if (word instanceof LoopEvent.ConnectionReleased free) {
-            connectionPool.release(free.connection(), now);
-        } else if (word instanceof LoopEvent.ProbeCompleted probe) {
-            sendStage.handleResult(probe);
-        } else if (word instanceof LoopEvent.NoticeCallCompleted noticed) {
-            notificationStage.handleNoticeResult(noticed, now);
-        } else if (word instanceof LoopEvent.WatchCompleted watched) {
-            Event told = watch.handleResult(watched.callNumber(), watched.result(), now);
-            if (told != null) {
+        } else if (event instanceof LoopEvent.ShotCompleted shotCompleted) {
+            sendStage.handleResult(shotCompleted);
+        } else if (event instanceof LoopEvent.ConnectionReleased connectionReleased) {
+            connectionPool.release(connectionReleased.connection(), now);
+        } else if (event instanceof LoopEvent.ProbeCompleted probeCompleted) {
+            sendStage.handleResult(probeCompleted);
+        } else if (event instanceof LoopEvent.NoticeCallCompleted noticeCallCompleted) {
+            notificationStage.handleNoticeResult(noticeCallCompleted, now);
+        } else if (event instanceof LoopEvent.WatchCompleted watchCompleted) {
+            Event listEvent = watch.handleResult(watchCompleted.callNumber(), watchCompleted.result(), now);
+            if (listEvent != null) {
                 counters.add(Counter.LISTS_TOLD);
-                log.trace(now, "list", ((Event.ListReceived) told).entries().size());
-                decisionStage.addEvent(told);
+                log.trace(now, "list", ((Event.ListReceived) listEvent).entries().size());
+                decisionStage.addEvent(listEvent);
                 endpointRegistry.pollRemovedPeers().forEach(connectionPool::removePeer);
             }
-        } else if (word instanceof LoopEvent.DiscoveryAddressChanged moved) {
-            watch.changeDiscoveryAddress(moved.address());
-            notificationStage.changePlatformAddress(moved.address());
-        } else if (word instanceof LoopEvent.ClientDisconnected left) {
-            handleClientDisconnect(left.clientRequest(), now);
-        } else if (word instanceof LoopEvent.ShutdownRequested) {
+        } else if (event instanceof LoopEvent.DiscoveryAddressChanged addressChanged) {
+            watch.changeDiscoveryAddress(addressChanged.address());
+            notificationStage.changePlatformAddress(addressChanged.address());
+        } else if (event instanceof LoopEvent.ClientDisconnected clientDisconnected) {
+            handleClientDisconnect(clientDisconnected.clientRequest(), now);
+        } else if (event instanceof LoopEvent.ShutdownRequested) {
             shutdownDeadline = now + limits.shutdownGracePeriodMicros();
             admissionStage.beginShutdown();
             decisionStage.addEvent(new Event.NodeShuttingDown(limits.shutdownGracePeriodMicros()));
@@ -284,49 +304,52 @@
     }
 
     /**
-     * An id that was taken in this very turn is as owed as one that is booked: the second record is refused. Where it is
-     * another record nobody knows whose id it is, and since nothing is owed yet both are refused.
+     * Admits a request as a new record, or answers it. If a record with the same id was admitted earlier in this turn, the
+     * second request is refused, as it would be if the first record were in the journal. If the two requests differ, it is
+     * unknown which client owns the id; since neither has been accepted yet, both are refused.
      */
-    private void handleClientRequest(ClientRequest handover, long now) {
-        TrackedRecord same = newRecords.values().stream().filter(owed -> owed.entry.id().equals(handover.id())).findFirst().orElse(null);
-        if (same != null) {
+    private void handleClientRequest(ClientRequest request, long now) {
+        TrackedRecord earlier = newRecords.values().stream().filter(record -> record.entry.id().equals(request.id())).findFirst()
+                .orElse(null);
+        if (earlier != null) {
             counters.add(Counter.REPEATS);
-            handover.responder().refused(0);
-            if (!same.isSameRecord(handover)) {
-                newRecords.remove(same.entry.number());
-                notificationStage.answerRefused(same, 0);
-                decisionStage.addEvent(new Event.RecordWithdrawn(same.entry.number()));
+            request.responder().refused(0);
+            if (!earlier.isSameRecord(request)) {
+                newRecords.remove(earlier.entry.number());
+                notificationStage.answerRefused(earlier, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(earlier.entry.number()));
             }
-        } else if (admissionStage.admit(handover, now)) {
-            TrackedRecord owed = intakeStage.createRecord(handover);
-            newRecords.put(owed.entry.number(), owed);
-            decisionStage.addEvent(toEvent(owed, now));
+        } else if (admissionStage.admit(request, now)) {
+            TrackedRecord record = intakeStage.createRecord(request);
+            newRecords.put(record.entry.number(), record);
+            decisionStage.addEvent(toEvent(record, now));
         }
     }
 
-    static Event.RecordAccepted toEvent(TrackedRecord owed, long now) {
-        JournalEntry.RecordAccepted taken = owed.entry;
-        return new Event.RecordAccepted(taken.number(), taken.grade(), taken.tenant(), taken.key(),
-                taken.abandonAt() - now, 0, taken.destination(), owed.clientRetry, false, owed.fromDeadNode);
+    static Event.RecordAccepted toEvent(TrackedRecord record, long now) {
+        JournalEntry.RecordAccepted accepted = record.entry;
+        return new Event.RecordAccepted(accepted.number(), accepted.grade(), accepted.tenant(), accepted.key(),
+                accepted.abandonAt() - now, 0, accepted.destination(), record.clientRetry, false, record.fromDeadNode);
     }
 
     /**
-     * A client that left before its answer may hand the record in again under another id. One that only repeated
-     * another's id takes nothing back: the record is the one that this client handed in, or stays.
+     * Withdraws the record of a client that disconnected before its answer, as that client may submit it again under
+     * another id. Only the record that this client itself submitted is withdrawn: a client that repeated another one's id
+     * leaves that record as it is.
      */
-    private void handleClientDisconnect(ClientRequest handover, long now) {
-        TrackedRecord owed = recordStore.findById(handover.id());
-        for (TrackedRecord taken : List.copyOf(newRecords.values())) {
-            if (taken.responder == handover.responder()) {
-                newRecords.remove(taken.entry.number());
-                decisionStage.addEvent(new Event.RecordWithdrawn(taken.entry.number()));
+    private void handleClientDisconnect(ClientRequest request, long now) {
+        TrackedRecord record = recordStore.findById(request.id());
+        for (TrackedRecord newRecord : List.copyOf(newRecords.values())) {
+            if (newRecord.responder == request.responder()) {
+                newRecords.remove(newRecord.entry.number());
+                decisionStage.addEvent(new Event.RecordWithdrawn(newRecord.entry.number()));
             }
         }
-        if (owed != null && owed.isOpen() && owed.entry.acceptedAt() == handover.receivedAt()) {
+        if (record != null && record.isOpen() && record.entry.acceptedAt() == request.receivedAt()) {
             counters.add(Counter.WITHDRAWN);
-            log.infoAboutRecord("message " + handover.id() + " is over: its client left before its answer");
-            recordStore.endRecord(owed, JournalEntry.RecordOutcome.WITHDRAWN, 0);
-            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+            log.infoAboutRecord("message " + request.id() + " withdrawn: client disconnected before its answer");
+            recordStore.endRecord(record, JournalEntry.RecordOutcome.WITHDRAWN, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
         }
     }
 
@@ -334,21 +357,21 @@
         return discoveryResolved.getCount() == 0;
     }
 
-    /** One turn of the module, and all that it asks for. */
+    /** Runs the decision module until it has no pending events, and performs the actions that it asks for. */
     private void performActions(long now) {
         while (decisionStage.hasPendingEvents()) {
             List<Action> actions = decisionStage.runTurn(now);
             slowTurnDetector.endPhase(Phase.MODULE, now());
             answerNewRecords(actions);
             for (Action action : actions) {
-                performActions(action, now);
+                performAction(action, now);
             }
             slowTurnDetector.endPhase(Phase.ACTIONS, now());
         }
         notificationStage.sendPendingNotices(now);
     }
 
-    /** The records of this turn: bounced at once, or booked and then answered. */
+    /** Answers the records admitted in this turn: refused if the module ended them, otherwise journalled and then accepted. */
     private void answerNewRecords(List<Action> actions) {
         for (Action action : newRecords.isEmpty() ? List.<Action>of() : actions) {
             if (action instanceof Action.Bounce bounce && newRecords.containsKey(bounce.id())) {
@@ -357,49 +380,50 @@
                 notificationStage.answerFailed(newRecords.remove(terminate.id()));
             }
         }
-        for (TrackedRecord owed : newRecords.values()) {
-            if (recordStore.tryAdd(owed)) {
-                notificationStage.answerTaken(owed);
+        for (TrackedRecord record : newRecords.values()) {
+            if (recordStore.tryAdd(record)) {
+                notificationStage.answerAccepted(record);
             } else {
-                notificationStage.answerRefused(owed, 0);
-                decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+                notificationStage.answerRefused(record, 0);
+                decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
             }
         }
         newRecords.clear();
         recordStore.clearReservations();
     }
 
-    /** What could not be decided has not been booked, so nothing is owed. */
+    /** Refuses the new records of a turn that failed. They are not in the journal, so the node owes them nothing. */
     private void refuseNewRecords() {
-        for (TrackedRecord owed : newRecords.values()) {
-            notificationStage.answerRefused(owed, 0);
-            decisionStage.addEvent(new Event.RecordWithdrawn(owed.entry.number()));
+        for (TrackedRecord record : newRecords.values()) {
+            notificationStage.answerRefused(record, 0);
+            decisionStage.addEvent(new Event.RecordWithdrawn(record.entry.number()));
         }
         newRecords.clear();
         recordStore.clearReservations();
     }
 
-    private void performActions(Action action, long now) {
-        if (action instanceof Action.SendShot shoot) {
-            sendStage.sendShot(recordStore.findByNumber(shoot.id()), shoot, now);
+    private void performAction(Action action, long now) {
+        if (action instanceof Action.SendShot sendShot) {
+            sendStage.sendShot(recordStore.findByNumber(sendShot.id()), sendShot, now);
         } else if (action instanceof Action.Recall recall && recordStore.findByNumber(recall.id()) != null) {
             sendStage.recallShot(recordStore.findByNumber(recall.id()), recall.shotIndex());
         } else if (action instanceof Action.Bounce bounce && recordStore.findByNumber(bounce.id()) != null) {
-            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), JournalEntry.RecordOutcome.BOUNCED, bounce.retryAfter());
+            notificationStage.endRecord(recordStore.findByNumber(bounce.id()), JournalEntry.RecordOutcome.BOUNCED,
+                    bounce.retryAfter());
         } else if (action instanceof Action.Terminate terminate && recordStore.findByNumber(terminate.id()) != null) {
             notificationStage.endRecord(recordStore.findByNumber(terminate.id()), JournalEntry.RecordOutcome.TERMINATED, 0);
-        } else if (action instanceof Action.StartTimer wake) {
-            timers.schedule(now + wake.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(wake.token())));
+        } else if (action instanceof Action.StartTimer startTimer) {
+            timers.schedule(now + startTimer.delay(), () -> decisionStage.addEvent(new Event.TimerExpired(startTimer.token())));
         } else if (action instanceof Action.Probe probe) {
             sendStage.startProbe(probe.endpoint(), now);
-        } else if (action instanceof Action.CancelUnsentCalls withhold) {
-            sendStage.withhold(withhold.endpoint());
+        } else if (action instanceof Action.CancelUnsentCalls cancelCalls) {
+            sendStage.cancelUnsentCalls(cancelCalls.endpoint());
         } else if (action instanceof Action.SetListSubscription) {
             watch.requestList(now);
-        } else if (action instanceof Action.CloseIdleConnections drop) {
-            sendStage.closeIdleConnections(drop.endpoint());
-        } else if (action instanceof Action.Log line) {
-            log.info(line.text());
+        } else if (action instanceof Action.CloseIdleConnections closeIdle) {
+            sendStage.closeIdleConnections(closeIdle.endpoint());
+        } else if (action instanceof Action.Log logLine) {
+            log.info(logLine.text());
         }
     }
 }
--- a/src/main/java/terndyke/node/stage/IntakeStage.java
+++ b/src/main/java/terndyke/node/stage/IntakeStage.java
@@ -3,19 +3,19 @@
 import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.JournalEntry;
 
-/** First stage: makes a record of what a client hands in, with its number and its end by the clock. */
+/** First stage: turns a client's request into a record with a number and an abandon time. */
 public final class IntakeStage {
     private long lastRecordNumber;
 
-    /** Numbers go on from the last one that the journal holds. */
-    public IntakeStage(long lastNumber) {
-        this.lastRecordNumber = lastNumber;
+    /** Numbering continues after the last number in the journal. */
+    public IntakeStage(long lastRecordNumber) {
+        this.lastRecordNumber = lastRecordNumber;
     }
 
-    TrackedRecord createRecord(ClientRequest handover) {
-        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, handover.id(), handover.grade(), handover.tenant(),
-                handover.key(), handover.destination(), handover.idempotencyKey(), handover.receivedAt(),
-                handover.receivedAt() + handover.timeoutMicros(), handover.body()), handover.clientRetry(),
-                handover.fromDeadNode(), handover.responder());
+    TrackedRecord createRecord(ClientRequest request) {
+        return new TrackedRecord(new JournalEntry.RecordAccepted(++lastRecordNumber, request.id(), request.grade(),
+                request.tenant(), request.key(), request.destination(), request.idempotencyKey(), request.receivedAt(),
+                request.receivedAt() + request.timeoutMicros(), request.body()), request.clientRetry(),
+                request.fromDeadNode(), request.responder());
     }
 }
--- a/src/main/java/terndyke/node/stage/NotificationStage.java
+++ b/src/main/java/terndyke/node/stage/NotificationStage.java
@@ -19,7 +19,7 @@
 import terndyke.node.http.ClientRequest;
 import terndyke.node.journal.JournalEntry;
 
-/** Fifth stage: answers to clients, and notices to the platform, resent until they are answered. */
+/** Fifth stage: answers clients, and sends notices to the platform, repeating them until they are answered. */
 public final class NotificationStage {
     private final Limits limits;
     private final Counters counters;
@@ -33,87 +33,88 @@
     private final Set<TrackedRecord> pendingNotices = new LinkedHashSet<>();
     private long callNumber;
     private boolean callInFlight;
-    private int consecutiveFailures; // calls with notices, in a row
-    private int maxBatchSize = Integer.MAX_VALUE; // notices in one call at most
+    private int consecutiveFailures; // of calls with notices
+    private int maxBatchSize = Integer.MAX_VALUE; // notices per call
     private ConnectionPool.PooledConnection connection;
     private long retryAt;
 
-    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platform, ConnectionPool calls, DecisionStage route, RecordStore book,
-            TimerQueue timers, NodeLog log, DecisionLoop desk) {
+    public NotificationStage(Limits limits, Counters counters, InetSocketAddress platformAddress, ConnectionPool connectionPool,
+            DecisionStage decisionStage, RecordStore recordStore, TimerQueue timers, NodeLog log, DecisionLoop decisionLoop) {
         this.limits = limits;
         this.counters = counters;
-        this.platform = ConnectionPool.Peer.forPlatform(platform);
-        this.connectionPool = calls;
-        this.decisionStage = route;
-        this.recordStore = book;
+        this.platform = ConnectionPool.Peer.forPlatform(platformAddress);
+        this.connectionPool = connectionPool;
+        this.decisionStage = decisionStage;
+        this.recordStore = recordStore;
         this.timers = timers;
         this.log = log;
-        this.decisionLoop = desk;
+        this.decisionLoop = decisionLoop;
     }
 
-    /** Tells the client that its record is taken on; it has been booked. */
-    void answerTaken(TrackedRecord owed) {
+    /** Tells the client that its record is accepted; it is in the journal. */
+    void answerAccepted(TrackedRecord record) {
         counters.add(Counter.TAKEN);
-        trace("taken", owed);
-        removeResponder(owed).taken();
+        trace("taken", record);
+        removeResponder(record).taken();
     }
 
-    /** Tells the client that its record is not taken on. */
-    void answerRefused(TrackedRecord owed, long after) {
+    /** Tells the client that its record is refused, and after which time in microseconds it may try again (0: not stated). */
+    void answerRefused(TrackedRecord record, long retryAfterMicros) {
         counters.add(Counter.BOUNCED_AT_ONCE);
-        trace("refused", owed);
-        removeResponder(owed).refused(after);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+        trace("refused", record);
+        removeResponder(record).refused(retryAfterMicros);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 
-    /** Tells the client that its record was given up in the turn of its taking. */
-    void answerFailed(TrackedRecord owed) {
-        trace("failed", owed);
-        removeResponder(owed).failed(500);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    /** Tells the client that its record was terminated in the turn in which it was admitted. */
+    void answerFailed(TrackedRecord record) {
+        trace("failed", record);
+        removeResponder(record).failed(500);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 
-    private static ClientRequest.Responder removeResponder(TrackedRecord owed) {
-        ClientRequest.Responder answer = owed.responder;
-        owed.responder = null;
-        return answer;
+    private static ClientRequest.Responder removeResponder(TrackedRecord record) {
+        ClientRequest.Responder responder = record.responder;
+        record.responder = null;
+        return responder;
     }
 
-    /** Books the end of a record that was taken on, and owes the platform its notice. */
-    void endRecord(TrackedRecord owed, JournalEntry.RecordOutcome end, long wait) {
-        if (owed.outcome == null) {
-            recordStore.endRecord(owed, end, wait);
-            counters.add(end == JournalEntry.RecordOutcome.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
-            owed.endedAt = decisionLoop.now();
-            pendingNotices.add(owed);
-            trace(end == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", owed);
-            if (end != JournalEntry.RecordOutcome.BOUNCED || !owed.shots.isEmpty()) {
-                log.infoAboutRecord("message " + owed.entry.id() + " ended " + end + ", "
-                        + (owed.entry.abandonAt() - owed.endedAt) / 1000 + " ms before its time, attempts: " + describeShots(owed));
+    /** Journals the end of an accepted record and queues the notice to the platform. */
+    void endRecord(TrackedRecord record, JournalEntry.RecordOutcome outcome, long retryAfterMicros) {
+        if (record.outcome == null) {
+            recordStore.endRecord(record, outcome, retryAfterMicros);
+            counters.add(outcome == JournalEntry.RecordOutcome.BOUNCED ? Counter.ENDED_BOUNCED : Counter.ENDED_TERMINATED);
+            record.endedAt = decisionLoop.now();
+            pendingNotices.add(record);
+            trace(outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "terminated", record);
+            if (outcome != JournalEntry.RecordOutcome.BOUNCED || !record.shots.isEmpty()) {
+                log.infoAboutRecord("message " + record.entry.id() + " ended " + outcome + ", "
+                        + (record.entry.abandonAt() - record.endedAt) / 1000 + " ms before its abandon time, attempts: "
+                        + describeShots(record));
             }
         }
     }
 
-    private static String describeShots(TrackedRecord owed) {
-        return owed.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "out" : shot.ending))
+    private static String describeShots(TrackedRecord record) {
+        return record.shots.stream().map(shot -> shot.endpointUid + " " + (shot.ending == null ? "in flight" : shot.ending))
                 .collect(Collectors.joining(", "));
     }
 
-    private void trace(String verb, TrackedRecord owed) {
+    private void trace(String verb, TrackedRecord record) {
         if (log.isTracing()) {
-            JournalEntry.RecordAccepted taken = owed.entry;
-            log.trace(decisionLoop.now(), verb, taken.number(), taken.id(), taken.grade(), taken.destination(),
-                    taken.abandonAt() - decisionLoop.now(), owed.shots.size());
+            JournalEntry.RecordAccepted accepted = record.entry;
+            log.trace(decisionLoop.now(), verb, accepted.number(), accepted.id(), accepted.grade(), accepted.destination(),
+                    accepted.abandonAt() - decisionLoop.now(), record.shots.size());
         }
     }
 
-    /** Owes again what the last life had not told, or lets the module know that it was told. */
-    void restore(TrackedRecord owed) {
-        if (owed.noticeSettled) {
-            decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+    /** For an ended record of the previous run: queues its notice again, or reports that the notice was answered. */
+    void restore(TrackedRecord record) {
+        if (record.noticeSettled) {
+            decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
         } else {
-            owed.endedAt = decisionLoop.now();
-            pendingNotices.add(owed);
+            record.endedAt = decisionLoop.now();
+            pendingNotices.add(record);
         }
     }
 
@@ -122,9 +123,10 @@
     }
 
     /**
-     * Sends what is owed, as many notices in one call as a body holds and one call at a time. Guards against a node that
-     * is back with hundreds of ends to tell and little CPU: each call takes it a tenth of a second and more, and at 64
-     * notices a call the last ones came too late. Where one of many cannot be read, halves are sent until it stands alone.
+     * Sends pending notices, one call at a time with as many notices as fit into a body. After a restart a node may have
+     * hundreds of notices to send and little CPU: each call then takes 100 ms or more, and with 64 notices per call the
+     * last ones were late. If the platform rejects a batch as malformed, the batch size is halved until the faulty notice
+     * is alone in its call.
      */
     void sendPendingNotices(long now) {
         if (callInFlight || pendingNotices.isEmpty() || now < retryAt) {
@@ -135,50 +137,54 @@
         byte[] body = lines.toString().getBytes(StandardCharsets.UTF_8);
         Call call = new Call("POST", "/v2/finals", new String[] {"Host", platform.hostHeader(),
             "Content-Type", "application/json", "Content-Length", Integer.toString(body.length)}, body);
-        long sent = ++callNumber;
-        connection = connectionPool.startCall(platform, call, now, result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sent, batch, result)));
+        long sentCallNumber = ++callNumber;
+        connection = connectionPool.startCall(platform, call, now,
+                result -> decisionLoop.post(new LoopEvent.NoticeCallCompleted(sentCallNumber, batch, result)));
         callInFlight = connection != null;
         counters.add(Counter.NOTICES_SENT, callInFlight ? batch.size() : 0);
         if (!callInFlight) {
-            handleCallFailure("no socket", now, retryDelay());
+            handleCallFailure("no connection available", now, retryDelay());
             return;
         }
         timers.schedule(now + callTimeout(), () -> {
-            if (callInFlight && callNumber == sent) {
+            if (callInFlight && callNumber == sentCallNumber) {
                 connectionPool.cancelCall(connection);
-                handleCallFailure("silence", decisionLoop.now(), 0);
+                handleCallFailure("no answer in time", decisionLoop.now(), 0);
             }
         });
     }
 
     /**
-     * How long a call may take. A message is given up shortly before its time, so two calls are tried within what a client is
-     * owed behind it; later ones get longer, for a platform that is slow and a node that has many ends to tell.
+     * Timeout of a call with notices. A record is terminated shortly before its abandon time, so two calls must fit into
+     * the time within which its notice is due after that. Later calls are given more time, for a slow platform or a node
+     * with many notices to send.
      */
     private long callTimeout() {
-        return Math.min(limits.responseTimeoutMicros(), limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
+        return Math.min(limits.responseTimeoutMicros(),
+                limits.noticeTimeoutMicros() << Math.min(10, Math.max(0, consecutiveFailures - 1)));
     }
 
-    /** How long to wait after a call that failed at once, which silence has already cost. */
+    /** Delay before the next call after one that failed at once; after a timeout no further delay is needed. */
     private long retryDelay() {
         return Math.min(limits.retryDelayMicros(), limits.noticeRetryDelayMicros() << Math.min(10, consecutiveFailures));
     }
 
-    /** The first ones whose lines fit into so many bytes, one at least and so many at most. */
-    static List<TrackedRecord> nextBatch(Collection<TrackedRecord> owing, int most, int bytes, StringBuilder lines) {
+    /** Takes the first records whose notices fit into the given bytes: at least one, at most the given number. */
+    static List<TrackedRecord> nextBatch(Collection<TrackedRecord> pendingRecords, int maxNotices, int maxBytes,
+            StringBuilder lines) {
         List<TrackedRecord> batch = new ArrayList<>();
-        for (TrackedRecord owed : owing) {
-            String line = formatNotice(owed) + "\n";
-            if (!batch.isEmpty() && (batch.size() == most || lines.length() + line.length() > bytes)) {
+        for (TrackedRecord record : pendingRecords) {
+            String line = formatNotice(record) + "\n";
+            if (!batch.isEmpty() && (batch.size() == maxNotices || lines.length() + line.length() > maxBytes)) {
                 break;
             }
             lines.append(line);
-            batch.add(owed);
+            batch.add(record);
         }
         return batch;
     }
 
-    /** From now on notices go to another address; those not yet answered go there again. */
+    /** Sends notices to another address from now on; those not yet answered are sent again to it. */
     void changePlatformAddress(InetSocketAddress address) {
         if (!address.equals(platform.address())) {
             if (callInFlight) {
@@ -193,22 +199,26 @@
         }
     }
 
-    /** The next call goes on a connection of its own: a kept one that lost a call would lose the next one too. */
-    private void handleCallFailure(String why, long now, long rest) {
+    /**
+     * Schedules the next call and closes the idle connections, so that it opens a new one: a kept connection that lost a
+     * call would lose the next one too.
+     */
+    private void handleCallFailure(String reason, long now, long delayMicros) {
         counters.add(Counter.NOTICES_UNANSWERED);
         if (consecutiveFailures++ == 0) {
-            log.warn("notices unanswered: " + pendingNotices.size() + " owed, first " + pendingNotices.iterator().next().entry.id() + ", " + why);
+            log.warn("notices unanswered: " + pendingNotices.size() + " pending, first "
+                    + pendingNotices.iterator().next().entry.id() + ", " + reason);
         }
         connectionPool.closeIdle(platform);
         callInFlight = false;
         callNumber++;
-        retryAt = now + rest;
+        retryAt = now + delayMicros;
         timers.schedule(retryAt, () -> { });
     }
 
-    static String formatNotice(TrackedRecord owed) {
+    static String formatNotice(TrackedRecord record) {
         StringBuilder line = new StringBuilder("{\"ref\":\"");
-        for (char c : owed.entry.id().toCharArray()) {
+        for (char c : record.entry.id().toCharArray()) {
             if (c == '"' || c == '\\') {
                 line.append('\\').append(c);
             } else if (c < ' ') {
@@ -217,46 +227,48 @@
                 line.append(c);
             }
         }
-        line.append("\",\"result\":\"").append(owed.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead").append('"');
-        if (owed.outcome == JournalEntry.RecordOutcome.BOUNCED && owed.retryAfterMicros > 0) {
-            line.append(",\"wait_ms\":").append(owed.retryAfterMicros / 1000);
+        line.append("\",\"result\":\"").append(record.outcome == JournalEntry.RecordOutcome.BOUNCED ? "bounced" : "dead")
+                .append('"');
+        if (record.outcome == JournalEntry.RecordOutcome.BOUNCED && record.retryAfterMicros > 0) {
+            line.append(",\"wait_ms\":").append(record.retryAfterMicros / 1000);
         }
         return line.append('}').toString();
     }
 
-    /** Takes in the platform's answer. */
-    void handleNoticeResult(LoopEvent.NoticeCallCompleted noticed, long now) {
-        if (!callInFlight || noticed.callNumber() != callNumber) {
+    /** Handles the platform's answer to a call with notices. */
+    void handleNoticeResult(LoopEvent.NoticeCallCompleted completed, long now) {
+        if (!callInFlight || completed.callNumber() != callNumber) {
             return;
         }
         callInFlight = false;
-        int status = noticed.result().status();
+        int status = completed.result().status();
         if (status == 204 || status == 200) {
-            noticed.records().forEach(this::settleNotice);
+            completed.records().forEach(this::settleNotice);
             maxBatchSize = Integer.MAX_VALUE;
             if (consecutiveFailures > 0) {
                 consecutiveFailures = 0;
-                log.info("notices are answered again, " + pendingNotices.size() + " owed");
+                log.info("notices answered again, " + pendingNotices.size() + " pending");
             }
-        } else if (status == 400 && noticed.records().size() == 1) {
-            log.warn("notice cannot be read by the platform: " + formatNotice(noticed.records().get(0)));
-            noticed.records().forEach(this::settleNotice);
+        } else if (status == 400 && completed.records().size() == 1) {
+            log.warn("notice rejected by the platform with status 400, dropped: " + formatNotice(completed.records().get(0)));
+            completed.records().forEach(this::settleNotice);
         } else {
-            maxBatchSize = status == 400 ? Math.max(1, noticed.records().size() / 2) : maxBatchSize;
+            maxBatchSize = status == 400 ? Math.max(1, completed.records().size() / 2) : maxBatchSize;
             handleCallFailure("status " + status, now, retryDelay());
         }
     }
 
-    private void settleNotice(TrackedRecord owed) {
+    private void settleNotice(TrackedRecord record) {
         long now = decisionLoop.now();
         counters.add(Counter.NOTICES_ANSWERED);
-        counters.recordMaximum(Counter.LONGEST_NOTICE, now - owed.endedAt);
-        if (now - owed.endedAt > limits.noticeDeadlineMicros()) {
+        counters.recordMaximum(Counter.LONGEST_NOTICE, now - record.endedAt);
+        if (now - record.endedAt > limits.noticeDeadlineMicros()) {
             counters.add(Counter.NOTICES_LATE);
-            log.infoAboutRecord("notice of " + owed.entry.id() + " answered " + (now - owed.endedAt) / 1000 + " ms after its end");
+            log.infoAboutRecord("notice of " + record.entry.id() + " answered " + (now - record.endedAt) / 1000
+                    + " ms after the message ended");
         }
-        pendingNotices.remove(owed);
-        recordStore.settleNotice(owed);
-        decisionStage.addEvent(new Event.FinalAnswerDelivered(owed.entry.number()));
+        pendingNotices.remove(record);
+        recordStore.settleNotice(record);
+        decisionStage.addEvent(new Event.FinalAnswerDelivered(record.entry.number()));
     }
 }
