--- a/src/main/java/terndyke/adapter/BatchReader.java
+++ b/src/main/java/terndyke/adapter/BatchReader.java
@@ -14,17 +14,21 @@
 import terndyke.api.ListedEndpoint;
 import terndyke.api.ListedEndpoint.EndpointState;
 
-/** Decodes one batch frame. Each item comes with the instance it is for; lists by number last over batches. */
+/**
+ * Decodes batch frames: a header, events of a fixed size, and a tail with the texts and lists they refer to. A TO event
+ * names the instance that the following ones are for. A list that CENSUS defines keeps its number over later batches.
+ */
 final class BatchReader {
     static final int HEADER_BYTES = 16;
     private static final int EVENT_BYTES = 48;
     private static final int LIST_ENTRY_BYTES = 23;
-    private static final Ending[] ENDINGS_BY_CODE = Arrays.copyOf(Ending.values(), Ending.NOT_SENT.ordinal() + 1); // by code
+    // CROWDED has no code in the protocol.
+    private static final Ending[] ENDINGS_BY_CODE = Arrays.copyOf(Ending.values(), Ending.NOT_SENT.ordinal() + 1);
 
-    /** One thing told to an instance: exactly one of terms, event and exit is set. */
+    /** One input for an instance: exactly one of settings, event and exit is set. */
     record InstanceInput(int instance, DeliverySettings settings, Event event, boolean exit) { }
 
-    /** A decoded frame. */
+    /** A decoded frame, with its clock time in microseconds. */
     record Batch(long now, List<InstanceInput> inputs) { }
 
     private final Map<Integer, List<ListedEndpoint>> listsByNumber = new java.util.TreeMap<>();
@@ -40,10 +44,10 @@
         double clock = whole.getDouble(4);
         long count = whole.getInt(12) & 0xffffffffL;
         if (HEADER_BYTES + count * EVENT_BYTES > whole.limit()) {
-            throw new InvalidInputException("batch of " + whole.limit() + " bytes is too short for its " + count + " records");
+            throw new InvalidInputException("batch of " + whole.limit() + " bytes is too short for its " + count + " events");
         }
         if (!Double.isFinite(clock)) {
-            throw new InvalidInputException("batch clock is not a number");
+            throw new InvalidInputException("batch clock is not a finite number");
         }
         tailOffset = (int) (HEADER_BYTES + count * EVENT_BYTES);
         List<InstanceInput> items = new ArrayList<>((int) count);
@@ -61,16 +65,17 @@
                 } else if (instance < 0) {
                     throw new InvalidInputException("event code " + code + " before any TO");
                 } else if (code == 1) {
-                    items.add(new InstanceInput(instance, DeliverySettingsReader.read(frame.getLong(eventOffset + 2), readText(10)), null, false));
+                    items.add(new InstanceInput(instance,
+                            DeliverySettingsReader.read(frame.getLong(eventOffset + 2), readText(10)), null, false));
                 } else if (code == 10) {
                     items.add(new InstanceInput(instance, null, null, true));
                 } else {
                     items.add(new InstanceInput(instance, null, readEvent(code), false));
                 }
             } catch (InvalidInputException e) {
-                throw new InvalidInputException("record " + i + " at byte " + eventOffset + ": " + e.getMessage());
+                throw new InvalidInputException("event " + i + " at byte " + eventOffset + ": " + e.getMessage());
             } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
-                throw new InvalidInputException("record " + i + " at byte " + eventOffset + ": points outside the frame");
+                throw new InvalidInputException("event " + i + " at byte " + eventOffset + ": refers to bytes outside the frame");
             }
         }
         return new Batch(Math.round(clock * 1e6), items);
@@ -79,13 +84,18 @@
     private Event readEvent(int code) throws InvalidInputException {
         return switch (code) {
             case 2 -> readListEvent();
-            case 3 -> new Event.RecordAccepted(frame.getLong(eventOffset + 2), readUnsignedShort(10), frame.getInt(eventOffset + 12),
-                    frame.getLong(eventOffset + 16), readMicros(24), (readUnsignedByte(44) & 1) != 0 ? readMicros(32) : 0,
-                    (int) frame.getFloat(eventOffset + 40), (readUnsignedByte(44) & 2) != 0, (readUnsignedByte(44) & 4) != 0, (readUnsignedByte(44) & 16) != 0);
-            case 4 -> new Event.ResponseStarted(frame.getLong(eventOffset + 2), readUnsignedByte(10), readEndpoint(eventOffset + 11), readMicros(17));
-            case 5 -> new Event.ShotEnded(frame.getLong(eventOffset + 2), readUnsignedByte(29), readEndpoint(eventOffset + 10), readEnding(28), readMicros(16),
+            case 3 -> new Event.RecordAccepted(frame.getLong(eventOffset + 2), readUnsignedShort(10),
+                    frame.getInt(eventOffset + 12), frame.getLong(eventOffset + 16), readMicros(24),
+                    (readUnsignedByte(44) & 1) != 0 ? readMicros(32) : 0,
+                    (int) frame.getFloat(eventOffset + 40), (readUnsignedByte(44) & 2) != 0, (readUnsignedByte(44) & 4) != 0,
+                    (readUnsignedByte(44) & 16) != 0);
+            case 4 -> new Event.ResponseStarted(frame.getLong(eventOffset + 2), readUnsignedByte(10),
+                    readEndpoint(eventOffset + 11), readMicros(17));
+            case 5 -> new Event.ShotEnded(frame.getLong(eventOffset + 2), readUnsignedByte(29), readEndpoint(eventOffset + 10),
+                    readEnding(28), readMicros(16),
                     readEnding(28) == Ending.FULL ? (frame.getInt(eventOffset + 24) & 0xffffffffL) * 1000 : 0,
-                    readEnding(28) == Ending.NOT_SENT && frame.getInt(eventOffset + 24) == 1, readUnsignedByte(30) != 0, readLoadReport(31));
+                    readEnding(28) == Ending.NOT_SENT && frame.getInt(eventOffset + 24) == 1, readUnsignedByte(30) != 0,
+                    readLoadReport(31));
             case 6 -> new Event.RecordWithdrawn(frame.getLong(eventOffset + 2));
             case 7 -> new Event.TimerExpired(frame.getInt(eventOffset + 2));
             case 8 -> new Event.ProbeEnded(readEndpoint(eventOffset + 2), readEnding(8), readMicros(9), readLoadReport(17));
@@ -103,7 +113,7 @@
         }
         List<ListedEndpoint> entries = listsByNumber.get(readUnsignedByte(10));
         if (entries == null) {
-            throw new InvalidInputException("VIEW names list " + readUnsignedByte(10) + ", which no CENSUS has brought");
+            throw new InvalidInputException("VIEW refers to list " + readUnsignedByte(10) + ", which no CENSUS has defined");
         }
         return new Event.ListReceived(entries, kind != 0);
     }
@@ -112,7 +122,7 @@
         long from = frame.getInt(eventOffset + 3) & 0xffffffffL;
         long count = frame.getInt(eventOffset + 7) & 0xffffffffL;
         if (tailOffset + from + count * LIST_ENTRY_BYTES > frame.limit()) {
-            throw new InvalidInputException("CENSUS points outside the frame");
+            throw new InvalidInputException("CENSUS refers to bytes outside the frame");
         }
         List<ListedEndpoint> entries = new ArrayList<>((int) count);
         for (int i = 0; i < count; i++) {
@@ -121,7 +131,7 @@
                 case 0 -> EndpointState.GONE;
                 case 1 -> EndpointState.READY;
                 case 2 -> EndpointState.DRAINING;
-                default -> throw new InvalidInputException("CENSUS entry " + i + ": unknown readiness " + frame.get(p + 12));
+                default -> throw new InvalidInputException("CENSUS entry " + i + ": unknown state " + frame.get(p + 12));
             };
             entries.add(new ListedEndpoint(readEndpoint(p), frame.get(p + 6) & 0xff, frame.get(p + 7) & 0xff,
                     frame.getFloat(p + 8), standing, Math.round(frame.getDouble(p + 13) * 1e6),
@@ -133,7 +143,7 @@
     private float[] readLoadReport(int offset) throws InvalidInputException {
         int n = readUnsignedByte(offset);
         if (n > 4) {
-            throw new InvalidInputException("load report of " + n + " values");
+            throw new InvalidInputException("load report has " + n + " values, more than 4");
         }
         float[] values = new float[n];
         for (int i = 0; i < n; i++) {
@@ -145,7 +155,7 @@
     private Ending readEnding(int offset) throws InvalidInputException {
         int code = readUnsignedByte(offset);
         if (code >= ENDINGS_BY_CODE.length) {
-            throw new InvalidInputException("unknown ending " + code);
+            throw new InvalidInputException("unknown code of an ending: " + code);
         }
         return ENDINGS_BY_CODE[code];
     }
@@ -158,7 +168,7 @@
         long from = tailOffset + (frame.getInt(eventOffset + offset) & 0xffffffffL);
         long length = frame.getInt(eventOffset + offset + 4) & 0xffffffffL;
         if (from + length > frame.limit()) {
-            throw new InvalidInputException("content points outside the frame");
+            throw new InvalidInputException("content reaches beyond the frame");
         }
         byte[] content = new byte[(int) length];
         frame.get((int) from, content);
--- a/src/main/java/terndyke/adapter/DeliverySettingsReader.java
+++ b/src/main/java/terndyke/adapter/DeliverySettingsReader.java
@@ -11,7 +11,7 @@
 import terndyke.api.ServiceGrade;
 import terndyke.api.ServiceGrade.RepeatSemantics;
 
-/** Reads path=value settings into delivery terms, for the wire and for the node. Unknown keys are passed over. */
+/** Reads delivery settings from flat path=value pairs, for the simulator adapter and for the node. Ignores unknown keys. */
 public final class DeliverySettingsReader {
     private final Map<String, String> settings;
 
@@ -34,7 +34,10 @@
         return read(seed, values, false);
     }
 
-    /** Reads settings that are flat already: a list of plain values is joined by commas. */
+    /**
+     * Reads settings from a map of paths to values, where a list of plain values is joined by commas. The flag says whether
+     * the node reports when a final answer has been delivered.
+     */
     public static DeliverySettings read(long seed, Map<String, String> values, boolean endsTold)
             throws InvalidInputException {
         return new DeliverySettingsReader(values).readDeliverySettings(seed, endsTold);
@@ -52,17 +55,21 @@
             quotas.add(readNumber("tenants." + i + ".quotaPerS"));
         }
         List<String> reported = readList("report.fields");
-        return new DeliverySettings(seed, readInteger("balancers"), readInteger("rank"), readInteger("zone"), readInteger("familyInfo.callsOut"),
+        return new DeliverySettings(seed, readInteger("balancers"), readInteger("rank"), readInteger("zone"),
+                readInteger("familyInfo.callsOut"),
                 readInteger("ceilings.maxOpen"), readInteger("ceilings.maxAttempts"), readBoolean("ceilings.secondCopies"),
                 readBoolean("ceilings.cancelling"), readBoolean("ceilings.probes"),
-                readBoolean("ceilings.retryAfter") ? readSecondsAsMicros("ceilings.maxRetryAfter", 0) : 0, readChoice("discovery", "push", "ask").equals("ask"),
+                readBoolean("ceilings.retryAfter") ? readSecondsAsMicros("ceilings.maxRetryAfter", 0) : 0,
+                readChoice("discovery", "push", "ask").equals("ask"),
                 readSecondsAsMicros("obligations.askEvery", 0), readListedRates(),
                 hasSetting("familyInfo.late") && readText("familyInfo.late").equals("by_half"), readNumber("overShareWorth", 1),
                 grades, quotas, readParsedList("familyInfo.kindApart", Boolean::valueOf),
                 readParsedList("familyInfo.perCall", Integer::valueOf), reported.indexOf("x0"), reported.indexOf("x1"),
                 readSecondsAsMicros("obligations.stopSendingWithin"), readNumber("obligations.fallMultiple"),
-                readSecondsAsMicros("obligations.overloadFor"), readNumber("obligations.coldShare"), readSecondsAsMicros("obligations.cold"),
-                readSecondsAsMicros("obligations.keyQuiet", 0), readSecondsAsMicros("obligations.answerSlack"), readSecondsAsMicros("resolution"),
+                readSecondsAsMicros("obligations.overloadFor"), readNumber("obligations.coldShare"),
+                readSecondsAsMicros("obligations.cold"),
+                readSecondsAsMicros("obligations.keyQuiet", 0), readSecondsAsMicros("obligations.answerSlack"),
+                readSecondsAsMicros("resolution"),
                 readSecondsAsMicros("ceilings.connIdle", 0), endsTold, readHallFees(),
                 readPrice("costs.crossZone", 0), readPrice("costs.handshake", 0));
     }
@@ -77,7 +84,8 @@
 
     private String readChoice(String key, String... allowed) throws InvalidInputException {
         if (!List.of(allowed).contains(readText(key))) {
-            throw new InvalidInputException("ATTACH: setting " + key + " is " + readText(key) + ", not one of " + String.join(", ", allowed));
+            throw new InvalidInputException("ATTACH: setting " + key + " is " + readText(key) + ", not one of "
+                    + String.join(", ", allowed));
         }
         return readText(key);
     }
@@ -106,12 +114,13 @@
             case "retryable" -> RepeatSemantics.IDEMPOTENT;
             case "dedup" -> RepeatSemantics.DEDUPLICATED;
             case "fragile" -> RepeatSemantics.UNREPEATABLE;
-            default -> throw new InvalidInputException("ATTACH: setting " + at + "semantics is " + readText(at + "semantics"));
+            default -> throw new InvalidInputException("ATTACH: setting " + at + "semantics has the unknown value "
+                    + readText(at + "semantics"));
         };
         boolean any = hasSetting(at + "group") && readText(at + "group").equals("all");
         return new ServiceGrade(effect, any, readSecondsAsMicros(at + "memorySpan", 0), readBoolean(at + "serialByKey", false),
-                readSecondsAsMicros(at + "target"), readNumber(at + "aimStretch", 0), readSecondsAsMicros(at + "deadline"), readNumber(at + "points"),
-                readNumber(at + "lateShare", 0));
+                readSecondsAsMicros(at + "target"), readNumber(at + "aimStretch", 0), readSecondsAsMicros(at + "deadline"),
+                readNumber(at + "points"), readNumber(at + "lateShare", 0));
     }
 
     private boolean hasSetting(String key) {
@@ -169,7 +178,7 @@
             try {
                 parsed.add(parse.apply(item));
             } catch (NumberFormatException e) {
-                throw new InvalidInputException("ATTACH: setting " + key + " holds " + item);
+                throw new InvalidInputException("ATTACH: setting " + key + " has the invalid item " + item);
             }
         }
         return parsed;
--- a/src/main/java/terndyke/adapter/InvalidInputException.java
+++ b/src/main/java/terndyke/adapter/InvalidInputException.java
@@ -1,6 +1,6 @@
 package terndyke.adapter;
 
-/** Input that does not follow the wire; the message names what is wrong and where. */
+/** Thrown for frames that violate the simulator protocol and for invalid settings; the message says what is wrong and where. */
 public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/terndyke/adapter/ReplyWriter.java
+++ b/src/main/java/terndyke/adapter/ReplyWriter.java
@@ -6,7 +6,7 @@
 
 import terndyke.api.Action;
 
-/** Encodes one reply frame. */
+/** Encodes reply frames: a header, actions of a fixed size, and a tail with the texts and messages they refer to. */
 final class ReplyWriter {
     private static final int HEADER_BYTES = 8;
     private static final int ACTION_BYTES = 24;
@@ -15,11 +15,13 @@
     private final ByteArrayOutputStream tailBytes = new ByteArrayOutputStream();
     private int actionOffset;
 
+    /** Starts the part of the frame that belongs to an instance: the actions up to the next call are its own. */
     void writeInstance(int number) {
         beginAction(7);
         actionBuffer.putShort(actionOffset + 2, (short) number);
     }
 
+    /** Reports that the instance failed with an exception. */
     void writeCrash(String text) {
         beginAction(13);
         writeContent(2, text.getBytes(StandardCharsets.UTF_8));
@@ -67,11 +69,12 @@
         }
     }
 
-    /** The frame of all that was added since the last one. */
+    /** Returns the frame of all actions written since the last call, and starts the next one. */
     byte[] finishFrame() {
         int body = actionBuffer.position();
         ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + body + tailBytes.size());
-        frame.putInt(body / ACTION_BYTES).putInt(frame.capacity()).put(actionBuffer.array(), 0, body).put(tailBytes.toByteArray());
+        frame.putInt(body / ACTION_BYTES).putInt(frame.capacity()).put(actionBuffer.array(), 0, body)
+                .put(tailBytes.toByteArray());
         actionBuffer.clear();
         tailBytes.reset();
         return frame.array();
--- a/src/main/java/terndyke/adapter/SimulatorAdapter.java
+++ b/src/main/java/terndyke/adapter/SimulatorAdapter.java
@@ -16,7 +16,10 @@
 import terndyke.api.Event;
 import terndyke.decision.Dispatcher;
 
-/** Hosts many instances of the decision module on the bench's wire. It maps and decides nothing. */
+/**
+ * Hosts many instances of the decision module for a simulator, with binary frames on standard input and output. It only
+ * translates between frames and the module's events and actions, and decides nothing.
+ */
 public final class SimulatorAdapter {
     private static final int MAX_FRAME_BYTES = 1 << 30;
 
@@ -24,7 +27,7 @@
     private final BatchReader reader = new BatchReader();
     private final ReplyWriter writer = new ReplyWriter();
 
-    /** Serves until the input ends. Returns the exit status; a message goes to the log where it is not 0. */
+    /** Serves until the input ends. Returns the exit status: 0, or 2 after malformed input, with one message in the log. */
     public int serve(InputStream rawInput, OutputStream output, PrintStream log) throws IOException {
         InputStream input = new BufferedInputStream(rawInput, 1 << 16);
         try {
@@ -45,11 +48,11 @@
             return null;
         }
         if (length.length < 4) {
-            throw new InvalidInputException("input ends inside a frame's length");
+            throw new InvalidInputException("input ends within a frame's length field");
         }
         int size = ByteBuffer.wrap(length).getInt();
         if (size < BatchReader.HEADER_BYTES || size > MAX_FRAME_BYTES) {
-            throw new InvalidInputException("frame length " + (size & 0xffffffffL) + " is out of bounds");
+            throw new InvalidInputException("frame length " + (size & 0xffffffffL) + " is out of range");
         }
         byte[] rest = input.readNBytes(size - 4);
         if (rest.length < size - 4) {
@@ -58,7 +61,7 @@
         return ByteBuffer.allocate(size).put(length).put(rest).array();
     }
 
-    /** Answers one frame. */
+    /** Processes one batch frame and returns the reply frame. */
     byte[] processFrame(byte[] frame) throws InvalidInputException {
         BatchReader.Batch batch = reader.read(ByteBuffer.wrap(frame));
         Map<Integer, List<Event>> told = new LinkedHashMap<>();
--- a/src/main/java/terndyke/node/discovery/EndpointRegistry.java
+++ b/src/main/java/terndyke/node/discovery/EndpointRegistry.java
@@ -18,19 +18,19 @@
 import terndyke.node.FlatJson;
 import terndyke.node.http.ConnectionPool;
 
-/** The list of endpoints as discovery told it: numbers for the module, addresses for the calls. */
+/** The endpoints that discovery has listed: their numbers for the decision module and their addresses for the calls. */
 public final class EndpointRegistry {
     private final List<String> zones;
     private final List<String> kinds;
     private final Map<String, Endpoint> byUid = new HashMap<>();
     private final Map<Long, Endpoint> byNumber = new HashMap<>();
-    private final Map<Integer, AtomicLong> lastRetryAfterByDestination = new HashMap<>(); // and when one last told a wait
-    private final Set<Endpoint> goneEndpoints = new LinkedHashSet<>(); // longest first
+    private final Map<Integer, AtomicLong> lastRetryAfterByDestination = new HashMap<>(); // when Retry-After last came
+    private final Set<Endpoint> goneEndpoints = new LinkedHashSet<>(); // the one gone longest comes first
     private final List<ConnectionPool.Peer> removedPeers = new ArrayList<>();
     private long version;
     private long lastNumber = -1;
 
-    /** One endpoint: its number is for this life of the node alone. */
+    /** One endpoint. Its number is valid only within this process run. */
     public static final class Endpoint {
         private final String uid;
         private final long number;
@@ -73,19 +73,25 @@
         return version;
     }
 
+    /** True if an endpoint of the destination has been listed in this process run, even if all of them are gone by now. */
     public boolean hasDestination(int destination) {
         return lastRetryAfterByDestination.containsKey(destination);
     }
 
+    /** The endpoint with that number, or null if there is none. */
     public Endpoint findEndpoint(long number) {
         return byNumber.get(number);
     }
 
+    /** The endpoint with that uid, or null if there is none. */
     public Endpoint findEndpoint(String uid) {
         return byUid.get(uid);
     }
 
-    /** Takes in an answer of discovery; entries that cannot be read are passed over and told in the list. */
+    /**
+     * Applies a list from discovery, given as flat JSON. Entries that cannot be read are skipped, and a description of each
+     * is added to the given list.
+     */
     public Event.ListReceived update(Map<String, String> told, long now, List<String> unread) throws IOException {
         long rev;
         int count;
@@ -93,7 +99,7 @@
             rev = Long.parseLong(told.get("rev"));
             count = Integer.parseInt(told.getOrDefault("targets.count", "0"));
         } catch (NumberFormatException e) {
-            throw new IOException("list without a version or a count");
+            throw new IOException("rev or targets.count is missing or not a number");
         }
         List<ListedEndpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -123,7 +129,7 @@
         }
     }
 
-    /** Who has left its address since the last call. */
+    /** Returns and clears the peers whose endpoints went or moved to another address since the last call. */
     public List<ConnectionPool.Peer> pollRemovedPeers() {
         List<ConnectionPool.Peer> since = List.copyOf(removedPeers);
         removedPeers.clear();
@@ -131,8 +137,9 @@
     }
 
     /**
-     * Forgets who was gone before that time, and the longest gone of too many. Guards against lists that always bring
-     * new endpoints; one that comes back later is a new one, and the module knows nothing of its past.
+     * Evicts the endpoints that went before the given time and, above the given count, those gone longest. Guards
+     * against unbounded growth when lists always bring new endpoints. An evicted endpoint that is listed again counts as
+     * new, and the decision module knows nothing of its past.
      */
     public void evictGone(long before, int atMost) {
         for (Iterator<Endpoint> all = goneEndpoints.iterator(); all.hasNext();) {
@@ -146,7 +153,7 @@
         }
     }
 
-    /** Takes in an answer as it came over the socket. */
+    /** Applies a list from discovery, given as the body of its response. */
     public Event.ListReceived update(byte[] json, long now, List<String> unread) throws IOException {
         return update(FlatJson.read(json), now, unread);
     }
@@ -163,12 +170,12 @@
         Endpoint known = uid == null ? null : byUid.get(uid);
         String group = told.get(at + "pod_group");
         if (known != null && group != null && Integer.parseInt(group) != known.destination()) {
-            markGone(known, now); // its number stays with its old destination
+            markGone(known, now); // the number stays with the old destination, and the entry gets a new one
             entries.add(known.listEntry);
             known = null;
         }
         if (uid == null || address == null && (known == null || standing == EndpointState.READY)) {
-            throw new IllegalArgumentException("no uid or no address in numbers");
+            throw new IllegalArgumentException("uid is missing, or endpoint is not a numeric address with a port");
         }
         int destination = known != null ? known.destination() : Integer.parseInt(group);
         Endpoint member = known != null ? known : new Endpoint(uid, ++lastNumber);
--- a/src/main/java/terndyke/node/discovery/Watch.java
+++ b/src/main/java/terndyke/node/discovery/Watch.java
@@ -14,13 +14,15 @@
 import terndyke.node.http.ConnectionPool;
 
 /**
- * Follows discovery's list: the next call leaves as soon as the last one is answered. Silence on a watch is a break. The
- * first call, and each after a silence, asks for the whole list at once, so that it is answered or known to be lost soon; after
- * a refusal the watch goes on from the version that is known.
- * Where the list comes on request alone, these wait until they are asked for. All on the decision thread.
+ * Keeps the endpoint list up to date by long polls of discovery: the next call starts as soon as the last one is answered.
+ * A call without an answer in time has failed. The first call, and each one after a time-out, requests the whole list
+ * without waiting for changes, so that it is soon either answered or known to be lost; after a refusal the watch continues
+ * from the known version. Where the list comes on request only, calls start only when requested. All methods belong to the
+ * decision thread.
  *
- * With each break in a row the next call is given more time, and one that was refused leaves later, by chance, all within
- * what a told change allows. Guards against nodes that keep a discovery at its limit by giving each call up and asking again.
+ * With each consecutive failure the next call gets a longer time-out, and after a refusal it starts later. Both are
+ * randomized and stay within the time after which a change counts as known to the node. Guards against nodes that keep
+ * discovery overloaded by giving up each call and asking again.
  */
 public final class Watch {
     private static final byte[] EMPTY_BODY = new byte[0];
@@ -33,16 +35,16 @@
     private final BiConsumer<Long, Call.Result> resultListener;
     private ConnectionPool.PooledConnection connection;
     private long callNumber;
-    private long dueAt; // when the call that is out has waited too long, or the next one may leave
+    private long dueAt; // when the call in flight times out, or when the next one may start
     private boolean callInFlight;
     private boolean unavailable;
-    private boolean fullListNeeded = true; // the whole list is asked for first
+    private boolean fullListNeeded = true; // the first call requests the whole list
     private final boolean listOnRequest;
-    private boolean listRequested; // where the list comes on request alone: it has been asked for, and no call has failed since
+    private boolean listRequested; // only with listOnRequest: requested, and no call has failed since
     private boolean failureUnreported;
     private boolean firstCallCompleted;
-    private int consecutiveFailures; // in a row
-    private final Random random; // nodes that broke together do not come back together
+    private int consecutiveFailures;
+    private final Random random; // spreads the retries of nodes whose calls failed at the same time
 
     public Watch(Limits limits, InetSocketAddress discovery, EndpointRegistry catalogue, ConnectionPool calls, NodeLog log,
             boolean onRequest, Random chance, BiConsumer<Long, Call.Result> whenAnswered) {
@@ -56,25 +58,25 @@
         this.resultListener = whenAnswered;
     }
 
-    /** Keeps the watch going, once the answers that have come by now have been taken in. */
+    /** Times out the call in flight and starts the next one, as due. Call it after handling the results received so far. */
     public void runDueActions(long now) {
         if (now >= dueAt && callInFlight) {
             connectionPool.cancelCall(connection);
             callInFlight = false;
             fullListNeeded = true;
-            handleFailure("no answer from discovery; the list stays in force");
+            handleFailure("no answer from discovery; the last known list stays in use");
         }
         if (now >= dueAt && (listRequested || !listOnRequest)) {
             startCall(now);
         }
     }
 
-    /** When to come again at the latest. */
+    /** The time by which {@link #runDueActions} has to be called again. */
     public long dueAt() {
         return listRequested || !listOnRequest || callInFlight ? dueAt : Long.MAX_VALUE;
     }
 
-    /** True once the first call has been answered or has failed; at once where the list comes on request. */
+    /** True once the first call has been answered or has failed; always true where the list comes on request. */
     public boolean hasCompletedFirstCall() {
         return firstCallCompleted || listOnRequest;
     }
@@ -88,33 +90,35 @@
     }
 
     /**
-     * How long a call for the whole list may take; after more than one break a little less by chance. On request the module
-     * rests between calls, so each is short: together they keep within what a told change allows.
+     * The time-out of a call for the whole list, which grows with consecutive failures, less a random part. Where the list
+     * comes on request, the decision module pauses between calls, so each call stays short: call and pause together stay
+     * within the time after which a change counts as known to the node.
      */
     private long fullListTimeout() {
         int times = listOnRequest ? 1 : Math.max(1, Math.min(limits.maxWatchTimeoutMultiplier(), consecutiveFailures));
         return (long) (limits.responseTimeoutMicros() * (times - (times > 1 ? random.nextDouble() / 2 : 0)));
     }
 
-    /** How long to rest after an answer that is no list. */
+    /** The randomized delay after a result that is not a readable list; it doubles with each consecutive failure. */
     private long retryDelay() {
-        return (long) (Math.min(limits.responseTimeoutMicros(), limits.retryDelayMicros() << Math.min(consecutiveFailures, 10) - 1) * (0.5 + random.nextDouble()));
+        return (long) (Math.min(limits.responseTimeoutMicros(),
+                limits.retryDelayMicros() << Math.min(consecutiveFailures, 10) - 1) * (0.5 + random.nextDouble()));
     }
 
-    /** Asks for the list from now on, where it comes on request: who decides when is the module. */
+    /** Requests the list until a call fails, where it comes on request; the decision module decides when. */
     public void requestList(long now) {
         listRequested = true;
         dueAt = callInFlight ? dueAt : now;
     }
 
-    /** True once after a call has failed, where somebody has to ask again. */
+    /** Returns true once after a failed call, where the list comes on request and has to be requested again. */
     public boolean pollFailure() {
         boolean tell = failureUnreported && listOnRequest;
         failureUnreported = false;
         return tell;
     }
 
-    /** Follows discovery to another address: a fresh watch with the whole list; until it is told the old one stays. */
+    /** Restarts the watch at another address of discovery, with the whole list; until that arrives the old list stays in use. */
     public void changeDiscoveryAddress(InetSocketAddress address) {
         if (!address.equals(discovery.address())) {
             if (callInFlight) {
@@ -132,20 +136,23 @@
         String path = "/catalog/members" + (fullListNeeded ? ""
                 : "?after=" + endpointRegistry.version() + "&wait_ms=" + limits.watchWaitMicros() / 1000);
         long sent = ++callNumber;
-        connection = connectionPool.startCall(discovery, new Call("GET", path, new String[] {"Host", discovery.hostHeader()}, EMPTY_BODY),
-                now, result -> resultListener.accept(sent, result));
+        connection = connectionPool.startCall(discovery,
+                new Call("GET", path, new String[] {"Host", discovery.hostHeader()}, EMPTY_BODY), now,
+                result -> resultListener.accept(sent, result));
         callInFlight = connection != null;
-        dueAt = now + (!callInFlight ? limits.retryDelayMicros() : fullListNeeded ? fullListTimeout() : limits.watchWaitMicros() + limits.watchSlackMicros());
+        dueAt = now + (!callInFlight ? limits.retryDelayMicros() : fullListNeeded ? fullListTimeout()
+                : limits.watchWaitMicros() + limits.watchSlackMicros());
     }
 
-    /** Takes in an answer; returns what it tells, or null where it cannot be read. */
+    /** Handles the result of a call. Returns its list, or null if it holds no readable list or its call was given up. */
     public Event handleResult(long answeredRound, Call.Result result, long now) {
         if (!callInFlight || answeredRound != callNumber) {
             return null;
         }
         callInFlight = false;
         if (result.status() != 200 || result.body() == null) {
-            fullListNeeded |= result.status() == 0 || result.status() == 200; // who refuses has lost nothing: its changes go on
+            // A discovery that refuses has lost nothing, so the changes continue from the known version.
+            fullListNeeded |= result.status() == 0 || result.status() == 200;
             handleFailure("watch broke: status " + result.status() + ", " + result.ending());
             dueAt = now + retryDelay();
             return null;
@@ -156,7 +163,7 @@
             unread.forEach(text -> log.warn("list: " + text));
             firstCallCompleted = true;
             consecutiveFailures = 0;
-            fullListNeeded = !unread.isEmpty(); // what could not be read is asked for again
+            fullListNeeded = !unread.isEmpty(); // later changes would not repeat the unreadable entries
             dueAt = fullListNeeded ? now + limits.retryDelayMicros() : now;
             logStatusChange(true, "discovery answers again");
             return list;
--- a/src/main/java/terndyke/node/journal/Journal.java
+++ b/src/main/java/terndyke/node/journal/Journal.java
@@ -14,13 +14,13 @@
 import terndyke.node.NodeLog;
 
 /**
- * The folder that lasts: one file of entries, each with its length and checksum, and for moments a second one that
- * takes its place. Plain writes, so what was written outlives the process, not the machine.
+ * The node's persistent state: one file of entries, each with its length and checksum, and during a compaction a second
+ * file that replaces it. Entries are written without fsync, so they survive a crash of the process, but not of the machine.
  */
 public final class Journal implements Closeable {
     private static final int FRAME_HEADER_BYTES = 8;
-    private static final int MIN_PAYLOAD_BYTES = 9; // an entry's type and number
-    private static final int MAX_PAYLOAD_BYTES = 1 << 17; // more than a body and its headers can come to
+    private static final int MIN_PAYLOAD_BYTES = 9; // the entry's type and its record's number
+    private static final int MAX_PAYLOAD_BYTES = 1 << 17; // more than the largest body with its headers takes
     private static final int BLOCK_BYTES = 512;
 
     private final Path currentPath;
@@ -37,11 +37,11 @@
         this.log = log;
     }
 
-    /** Opens the folder's journal and adds what it holds to the given list; a torn tail is cut off. */
+    /** Opens the journal in the folder and adds its entries to the given list. A torn tail is truncated. */
     public static Journal open(Path folder, long most, NodeLog log, List<JournalEntry> held) throws IOException {
         Files.createDirectories(folder);
         Journal journal = new Journal(folder, most, log);
-        Files.deleteIfExists(journal.nextPath); // a compaction that was not finished; the old file holds all
+        Files.deleteIfExists(journal.nextPath); // left by an unfinished compaction; the current file holds all entries
         journal.file = new RandomAccessFile(journal.currentPath.toFile(), "rw");
         journal.readEntries(held);
         return journal;
@@ -55,27 +55,27 @@
         for (int at = 0; at + FRAME_HEADER_BYTES < bytes.length; at++) {
             byte[] payload = readPayload(all, at);
             if (payload == null) {
-                continue; // a torn tail, or a damaged entry before others that are whole
+                continue; // a torn tail, or a damaged entry before intact ones
             }
             if (at > size) {
-                log.warn("journal: " + (at - size) + " damaged bytes passed over at byte " + size);
+                log.warn("journal: " + (at - size) + " damaged bytes skipped at byte " + size);
             }
             try {
                 held.add(JournalEntryCodec.decode(payload));
             } catch (IOException e) {
-                log.warn("journal: entry at byte " + at + " passed over: " + e.getMessage());
+                log.warn("journal: entry at byte " + at + " skipped: " + e.getMessage());
             }
             size = at + FRAME_HEADER_BYTES + payload.length;
             at = (int) size - 1;
         }
         if (size < length) {
-            log.warn("journal: torn tail of " + (length - size) + " bytes dropped after " + held.size() + " entries");
+            log.warn("journal: torn tail of " + (length - size) + " bytes truncated after " + held.size() + " entries");
             file.setLength(size);
         }
         file.seek(size);
     }
 
-    /** The payload of the whole entry that begins there, or null where none does. */
+    /** The payload of the entry that starts at that position, or null if no intact entry does. */
     private static byte[] readPayload(ByteBuffer all, int at) {
         int length = all.getInt(at);
         if (length < MIN_PAYLOAD_BYTES || length > MAX_PAYLOAD_BYTES || length > all.capacity() - at - FRAME_HEADER_BYTES) {
@@ -102,7 +102,7 @@
         return (bytes + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
 
-    /** How many bytes would still go in, leaving room for a compaction that keeps as much as the given live bytes. */
+    /** The number of bytes that can be appended with enough space left for a compaction to the given number of live bytes. */
     public long remainingBytes(long live) {
         return maxBytes - roundUpToBlock(size) - roundUpToBlock(live);
     }
@@ -111,7 +111,7 @@
         return size;
     }
 
-    /** Appends one entry whole, or not at all. */
+    /** Appends one entry completely, or throws and leaves the file as it was. */
     public void append(JournalEntry entry) throws IOException {
         byte[] frame = encodeFrame(entry);
         if (roundUpToBlock(size + frame.length) > maxBytes) {
@@ -127,12 +127,12 @@
         }
     }
 
-    /** The bytes that an entry takes. */
+    /** The size of the entry in the file, with length and checksum. */
     public static int encodedSize(JournalEntry entry) {
         return encodeFrame(entry).length;
     }
 
-    /** Replaces the file by one that holds the given entries alone; the old one stays where there is no room. */
+    /** Replaces the file by one with only the given entries. Returns false and keeps the old one if there is no room for both. */
     public boolean compact(Iterable<JournalEntry> live) throws IOException {
         ByteArrayOutputStream whole = new ByteArrayOutputStream(1 << 16);
         for (JournalEntry entry : live) {
--- a/src/main/java/terndyke/node/journal/JournalEntryCodec.java
+++ b/src/main/java/terndyke/node/journal/JournalEntryCodec.java
@@ -9,7 +9,10 @@
 
 import terndyke.api.Ending;
 
-/** Entries as bytes and back. */
+/**
+ * Converts journal entries to bytes and back: a type byte, the record's number and the fields of the type, big-endian.
+ * Strings are stored as UTF-8 with their length, -1 for null, and enum constants by their ordinal.
+ */
 final class JournalEntryCodec {
     private static final Ending[] ENDINGS = Ending.values();
     private static final JournalEntry.RecordOutcome[] RECORD_OUTCOMES = JournalEntry.RecordOutcome.values();
@@ -21,7 +24,7 @@
         try {
             write(entry, new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory", e);
+            throw new IllegalStateException("write to memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -30,12 +33,12 @@
         if (entry instanceof JournalEntry.RecordAccepted taken) {
             out.writeByte(1);
             out.writeLong(taken.number());
-            text(out, taken.id());
+            writeText(out, taken.id());
             out.writeInt(taken.grade());
             out.writeInt(taken.tenant());
             out.writeLong(taken.key());
             out.writeInt(taken.destination());
-            text(out, taken.idempotencyKey());
+            writeText(out, taken.idempotencyKey());
             out.writeLong(taken.acceptedAt());
             out.writeLong(taken.abandonAt());
             out.writeInt(taken.body().length);
@@ -44,7 +47,7 @@
             out.writeByte(2);
             out.writeLong(fired.number());
             out.writeInt(fired.shot());
-            text(out, fired.endpointUid());
+            writeText(out, fired.endpointUid());
             out.writeInt(fired.zone());
             out.writeLong(fired.firedAt());
         } else if (entry instanceof JournalEntry.ShotEnded over) {
@@ -68,21 +71,22 @@
         int type = in.readUnsignedByte();
         long number = in.readLong();
         JournalEntry entry = switch (type) {
-            case 1 -> new JournalEntry.RecordAccepted(number, text(in), in.readInt(), in.readInt(), in.readLong(), in.readInt(),
-                    text(in), in.readLong(), in.readLong(), readBody(in));
-            case 2 -> new JournalEntry.ShotFired(number, in.readInt(), text(in), in.readInt(), in.readLong());
+            case 1 -> new JournalEntry.RecordAccepted(number, readText(in), in.readInt(), in.readInt(), in.readLong(),
+                    in.readInt(), readText(in), in.readLong(), in.readLong(), readBody(in));
+            case 2 -> new JournalEntry.ShotFired(number, in.readInt(), readText(in), in.readInt(), in.readLong());
             case 3 -> new JournalEntry.ShotEnded(number, in.readInt(), ENDINGS[in.readUnsignedByte() % ENDINGS.length]);
-            case 4 -> new JournalEntry.RecordEnded(number, RECORD_OUTCOMES[in.readUnsignedByte() % RECORD_OUTCOMES.length], in.readLong());
+            case 4 -> new JournalEntry.RecordEnded(number, RECORD_OUTCOMES[in.readUnsignedByte() % RECORD_OUTCOMES.length],
+                    in.readLong());
             case 5 -> new JournalEntry.NoticeAnswered(number);
             default -> throw new IOException("entry of unknown type " + type);
         };
         if (in.available() > 0) {
-            throw new IOException("entry with " + in.available() + " bytes too many");
+            throw new IOException("entry has " + in.available() + " bytes too many");
         }
         return entry;
     }
 
-    private static void text(DataOutputStream out, String text) throws IOException {
+    private static void writeText(DataOutputStream out, String text) throws IOException {
         byte[] bytes = text == null ? null : text.getBytes(StandardCharsets.UTF_8);
         out.writeInt(bytes == null ? -1 : bytes.length);
         if (bytes != null) {
@@ -90,7 +94,7 @@
         }
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         return length < 0 ? null : new String(readBytes(in, length), StandardCharsets.UTF_8);
     }
@@ -101,7 +105,7 @@
 
     private static byte[] readBytes(DataInputStream in, int length) throws IOException {
         if (length < 0 || length > in.available()) {
-            throw new IOException("length " + length + " points outside the entry");
+            throw new IOException("length " + length + " is outside the entry");
         }
         return in.readNBytes(length);
     }
--- a/src/test/java/terndyke/adapter/SimulatorProtocolTest.java
+++ b/src/test/java/terndyke/adapter/SimulatorProtocolTest.java
@@ -107,7 +107,8 @@
 
     @Test
     void missingSettingIsNamedInTheError() {
-        String message = assertThrows(InvalidInputException.class, () -> DeliverySettingsReader.read(1, "balancers=2")).getMessage();
+        String message = assertThrows(InvalidInputException.class,
+                () -> DeliverySettingsReader.read(1, "balancers=2")).getMessage();
         assertTrue(message.contains("classes.count"), message);
     }
 
@@ -124,7 +125,7 @@
     void unknownInstanceOfAnEventIsNamedInTheError() {
         ByteBuffer frame = ByteBuffer.allocate(16 + 96).putInt(112).putDouble(8.0).putInt(2)
                 .put(parseHex(padHex("000c 0005", 48))).put(parseHex(padHex("0007 00000001", 48)));
-        assertTrue(assertThrows(InvalidInputException.class, () -> new SimulatorAdapter().processFrame(frame.array())).getMessage()
-                .contains("instance 5"));
+        assertTrue(assertThrows(InvalidInputException.class,
+                () -> new SimulatorAdapter().processFrame(frame.array())).getMessage().contains("instance 5"));
     }
 }
--- a/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
+++ b/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
@@ -73,8 +73,8 @@
         assertEquals(List.of(first), endpointRegistry.pollRemovedPeers());
         assertNotSame(first, endpointRegistry.findEndpoint("s-2").peer());
         update(3, false, targetJson("s-1", "127.0.0.9:1", "active"));
-        assertNotSame(first, endpointRegistry.findEndpoint("s-1").peer(), "back again, but not the same process");
-        assertEquals(0, endpointRegistry.findEndpoint("s-1").number(), "its waits still bind");
+        assertNotSame(first, endpointRegistry.findEndpoint("s-1").peer(), "listed again, but another process by now");
+        assertEquals(0, endpointRegistry.findEndpoint("s-1").number(), "same number, so its last Retry-After still applies");
     }
 
     @Test
@@ -88,7 +88,7 @@
         assertEquals(29, endpointRegistry.findEndpoint("s-29").number());
         endpointRegistry.evictGone(NOW_MICROS + 1, 20);
         assertNull(endpointRegistry.findEndpoint("s-48"));
-        assertEquals(49, endpointRegistry.findEndpoint(49).number(), "it is listed");
+        assertEquals(49, endpointRegistry.findEndpoint(49).number(), "still listed, so never evicted");
         assertTrue(endpointRegistry.hasDestination(3));
     }
 
--- a/src/test/java/terndyke/node/discovery/WatchTest.java
+++ b/src/test/java/terndyke/node/discovery/WatchTest.java
@@ -29,10 +29,10 @@
 import terndyke.node.http.ConnectionPool;
 import terndyke.node.http.Reactor;
 
-/** The watch against a discovery that does, call by call, what the test says; the clock is the test's. */
+/** Runs the watch against a discovery scripted call by call by the test, with the test's own clock. */
 class WatchTest {
-    private static final long CHANGE_DEADLINE_MICROS = 6_000_000; // what a silent watch misses counts as told so long after
-    private static final long SAFETY_MARGIN_MICROS = 2_000_000; // for a node that is short of CPU, and one more call that is lost
+    private static final long CHANGE_DEADLINE_MICROS = 6_000_000; // then a change counts as known, even if the watch missed it
+    private static final long SAFETY_MARGIN_MICROS = 2_000_000; // for a node short of CPU, and one more lost call
     private static final String EMPTY_LIST_JSON = "{\"rev\":7,\"all\":true,\"targets\":[]}";
 
     private record NumberedResult(long callNumber, Call.Result result) { }
@@ -78,7 +78,7 @@
         InputStream in = connection.getInputStream();
         while (text.indexOf("\r\n\r\n") < 0) {
             int read = in.read();
-            assertTrue(read >= 0, "no request came");
+            assertTrue(read >= 0, "connection closed before a whole request came");
             text.append((char) read);
         }
         return text.substring(text.indexOf(" ") + 1, text.indexOf(" HTTP"));
@@ -96,16 +96,16 @@
         return watch.handleResult(answered.callNumber, answered.result, now) != null;
     }
 
-    /** The call that is out is never answered: the next one comes on a connection of its own. */
+    /** Leaves the call in flight unanswered until it times out; the next one comes on a new connection. */
     private void timeOutCall() throws Exception {
         long broken = watch.dueAt();
         now = broken - 1;
         watch.runDueActions(now);
-        assertEquals(broken, watch.dueAt(), "it still waits");
+        assertEquals(broken, watch.dueAt(), "a call must wait until its time-out");
         now = broken;
         watch.runDueActions(now);
         NumberedResult stale = results.poll(30, TimeUnit.SECONDS);
-        assertNull(watch.handleResult(stale.callNumber, stale.result, now), "its end is no second break");
+        assertNull(watch.handleResult(stale.callNumber, stale.result, now), "the result of a call that timed out is ignored");
         connectionPool.release(freedConnections.poll(30, TimeUnit.SECONDS), now);
         connection.close();
         connection = null;
@@ -114,17 +114,18 @@
     @Test
     void silentWatchIsReopenedWellBeforeChangeDeadlineThoughNextCallIsLostToo() throws Exception {
         watch.runDueActions(now);
-        assertEquals("/catalog/members", awaitRequestPath(), "at first the whole list, at once");
+        assertEquals("/catalog/members", awaitRequestPath(), "the first call requests the whole list, without waiting");
         assertTrue(answer(EMPTY_LIST_JSON));
         watch.runDueActions(now);
         assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath());
-        long silentSince = now; // at worst it falls silent as soon as it is open
+        long silentSince = now; // at worst discovery stops answering as soon as the watch is open
         timeOutCall();
         assertEquals("/catalog/members", awaitRequestPath());
         timeOutCall();
-        assertEquals("/catalog/members", awaitRequestPath(), "the call after the break is lost as well");
+        assertEquals("/catalog/members", awaitRequestPath(), "the call after the time-out is lost as well");
         assertTrue(answer("{\n  \"rev\": 8,\n  \"all\": true,\n  \"targets\": [\n  ]\n}"));
-        assertTrue(now - silentSince <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS, "asked after " + (now - silentSince));
+        assertTrue(now - silentSince <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS,
+                "microseconds until the list came: " + (now - silentSince));
     }
 
     @Test
@@ -137,7 +138,10 @@
         assertEquals("/catalog/members", awaitRequestPath());
     }
 
-    /** A discovery at its limit is kept there by nodes that give up and ask again: they ask less and less, and yet in time. */
+    /**
+     * Guards against nodes that keep discovery overloaded by giving up calls and asking again: calls must become rarer, and
+     * still come within the change deadline.
+     */
     @Test
     void aDiscoveryThatGivesNoAnswerIsAskedAgainMoreAndMoreSeldom() throws Exception {
         watch.runDueActions(now);
@@ -147,12 +151,13 @@
         for (long last = now; now - began < 12_000_000; calls++) {
             timeOutCall();
             awaitRequestPath();
-            assertTrue(now - last <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS, "no call for " + (now - last));
+            assertTrue(now - last <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS,
+                    "microseconds without a new call: " + (now - last));
             last = now;
         }
         assertTrue(calls <= 8, calls + " calls in 12 s");
         assertTrue(answer(EMPTY_LIST_JSON));
-        assertEquals(now, watch.dueAt(), "and follows it at once");
+        assertEquals(now, watch.dueAt(), "the next call starts at once after an answer");
     }
 
     @Test
@@ -166,14 +171,16 @@
         int calls = 1;
         for (; now - began < 8_000_000; calls++) {
             assertTrue(!answer("503 Full", ""));
-            assertTrue(watch.dueAt() - now <= CHANGE_DEADLINE_MICROS - 2 * SAFETY_MARGIN_MICROS, "rests for " + (watch.dueAt() - now));
-            if (watch.dueAt() - now >= limits.idleConnectionTimeoutMicros()) { // the next call comes on a connection of its own
+            assertTrue(watch.dueAt() - now <= CHANGE_DEADLINE_MICROS - 2 * SAFETY_MARGIN_MICROS,
+                    "microseconds of delay: " + (watch.dueAt() - now));
+            if (watch.dueAt() - now >= limits.idleConnectionTimeoutMicros()) { // the next call comes on a new connection
                 connection.close();
                 connection = null;
             }
             now = watch.dueAt();
             watch.runDueActions(now);
-            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath(), "it goes on from there");
+            assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath(),
+                    "a retry continues from the known version");
         }
         assertTrue(calls <= 14, calls + " calls in 8 s");
     }
@@ -182,7 +189,7 @@
     void anAnswerThatHasComeIsTakenInBeforeItsCallIsGivenUp() throws Exception {
         watch.runDueActions(now);
         awaitRequestPath();
-        now = watch.dueAt() + 1_000_000; // the node was held up, and the answer lies in its inbox
+        now = watch.dueAt() + 1_000_000; // the node was delayed, and the answer waits in its queue
         assertTrue(answer(EMPTY_LIST_JSON));
         watch.runDueActions(now);
         assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath());
@@ -196,7 +203,7 @@
                 + "\"az\":\"east\",\"model\":\"a\",\"pod_group\":1,\"state\":\"lea\"}]}"));
         now = watch.dueAt();
         watch.runDueActions(now);
-        assertEquals("/catalog/members", awaitRequestPath(), "what could not be read is in no later change");
+        assertEquals("/catalog/members", awaitRequestPath(), "no later change repeats an unreadable entry");
         assertTrue(!answer("{\"rev\":8,\"all\":true,\"targ"));
         now = watch.dueAt();
         watch.runDueActions(now);
@@ -219,7 +226,7 @@
         assertNotNull(awaitRequestPath());
     }
 
-    /** The module's rest of 3.6 s at most comes on top. */
+    /** The decision module's pause of at most 3.6 s between calls comes on top. */
     @Test
     void listOnRequestTimesOutEachCallWithinASecond() throws Exception {
         createWatch(true);
@@ -229,7 +236,7 @@
             awaitRequestPath();
             long began = now;
             timeOutCall();
-            assertTrue(now - began <= 1_000_000, "given " + (now - began));
+            assertTrue(now - began <= 1_000_000, "microseconds until the time-out: " + (now - began));
         }
     }
 }
--- a/src/test/java/terndyke/node/journal/JournalTest.java
+++ b/src/test/java/terndyke/node/journal/JournalTest.java
@@ -56,7 +56,8 @@
                 assertEquals(entry, back);
             }
         }
-        JournalEntry.RecordAccepted back = (JournalEntry.RecordAccepted) JournalEntryCodec.decode(JournalEntryCodec.encode(ENTRIES.get(0)));
+        JournalEntry.RecordAccepted back = (JournalEntry.RecordAccepted)
+                JournalEntryCodec.decode(JournalEntryCodec.encode(ENTRIES.get(0)));
         assertEquals("id-\u00e9", back.id());
         assertEquals("mark", back.idempotencyKey());
         assertArrayEquals(new byte[] {0, -1, 9}, back.body());
