--- a/src/main/java/terndyke/adapter/BatchReader.java
+++ b/src/main/java/terndyke/adapter/BatchReader.java
@@ -36,21 +36,21 @@
     private int eventOffset;
     private int tailOffset;
 
-    Batch read(ByteBuffer whole) throws InvalidInputException {
-        frame = whole;
-        if (whole.limit() < HEADER_BYTES) {
-            throw new InvalidInputException("batch of " + whole.limit() + " bytes is shorter than its header");
+    Batch read(ByteBuffer batch) throws InvalidInputException {
+        frame = batch;
+        if (batch.limit() < HEADER_BYTES) {
+            throw new InvalidInputException("batch of " + batch.limit() + " bytes is shorter than its header");
         }
-        double clock = whole.getDouble(4);
-        long count = whole.getInt(12) & 0xffffffffL;
-        if (HEADER_BYTES + count * EVENT_BYTES > whole.limit()) {
-            throw new InvalidInputException("batch of " + whole.limit() + " bytes is too short for its " + count + " events");
+        double clockSeconds = batch.getDouble(4);
+        long count = batch.getInt(12) & 0xffffffffL;
+        if (HEADER_BYTES + count * EVENT_BYTES > batch.limit()) {
+            throw new InvalidInputException("batch of " + batch.limit() + " bytes is too short for its " + count + " events");
         }
-        if (!Double.isFinite(clock)) {
+        if (!Double.isFinite(clockSeconds)) {
             throw new InvalidInputException("batch clock is not a finite number");
         }
         tailOffset = (int) (HEADER_BYTES + count * EVENT_BYTES);
-        List<InstanceInput> items = new ArrayList<>((int) count);
+        List<InstanceInput> inputs = new ArrayList<>((int) count);
         int instance = -1;
         for (int i = 0; i < count; i++) {
             eventOffset = HEADER_BYTES + i * EVENT_BYTES;
@@ -65,12 +65,12 @@
                 } else if (instance < 0) {
                     throw new InvalidInputException("event code " + code + " before any TO");
                 } else if (code == 1) {
-                    items.add(new InstanceInput(instance,
+                    inputs.add(new InstanceInput(instance,
                             DeliverySettingsReader.read(frame.getLong(eventOffset + 2), readText(10)), null, false));
                 } else if (code == 10) {
-                    items.add(new InstanceInput(instance, null, null, true));
+                    inputs.add(new InstanceInput(instance, null, null, true));
                 } else {
-                    items.add(new InstanceInput(instance, null, readEvent(code), false));
+                    inputs.add(new InstanceInput(instance, null, readEvent(code), false));
                 }
             } catch (InvalidInputException e) {
                 throw new InvalidInputException("event " + i + " at byte " + eventOffset + ": " + e.getMessage());
@@ -78,7 +78,7 @@
                 throw new InvalidInputException("event " + i + " at byte " + eventOffset + ": refers to bytes outside the frame");
             }
         }
-        return new Batch(Math.round(clock * 1e6), items);
+        return new Batch(Math.round(clockSeconds * 1e6), inputs);
     }
 
     private Event readEvent(int code) throws InvalidInputException {
@@ -119,34 +119,34 @@
     }
 
     private List<ListedEndpoint> readListEntries() throws InvalidInputException {
-        long from = frame.getInt(eventOffset + 3) & 0xffffffffL;
+        long start = frame.getInt(eventOffset + 3) & 0xffffffffL;
         long count = frame.getInt(eventOffset + 7) & 0xffffffffL;
-        if (tailOffset + from + count * LIST_ENTRY_BYTES > frame.limit()) {
+        if (tailOffset + start + count * LIST_ENTRY_BYTES > frame.limit()) {
             throw new InvalidInputException("CENSUS refers to bytes outside the frame");
         }
         List<ListedEndpoint> entries = new ArrayList<>((int) count);
         for (int i = 0; i < count; i++) {
-            int p = (int) (tailOffset + from) + i * LIST_ENTRY_BYTES;
-            EndpointState standing = switch (frame.get(p + 12)) {
+            int position = (int) (tailOffset + start) + i * LIST_ENTRY_BYTES;
+            EndpointState state = switch (frame.get(position + 12)) {
                 case 0 -> EndpointState.GONE;
                 case 1 -> EndpointState.READY;
                 case 2 -> EndpointState.DRAINING;
-                default -> throw new InvalidInputException("CENSUS entry " + i + ": unknown state " + frame.get(p + 12));
+                default -> throw new InvalidInputException("CENSUS entry " + i + ": unknown state " + frame.get(position + 12));
             };
-            entries.add(new ListedEndpoint(readEndpoint(p), frame.get(p + 6) & 0xff, frame.get(p + 7) & 0xff,
-                    frame.getFloat(p + 8), standing, Math.round(frame.getDouble(p + 13) * 1e6),
-                    frame.getShort(p + 21) & 0xffff));
+            entries.add(new ListedEndpoint(readEndpoint(position), frame.get(position + 6) & 0xff, frame.get(position + 7) & 0xff,
+                    frame.getFloat(position + 8), state, Math.round(frame.getDouble(position + 13) * 1e6),
+                    frame.getShort(position + 21) & 0xffff));
         }
         return List.copyOf(entries);
     }
 
     private float[] readLoadReport(int offset) throws InvalidInputException {
-        int n = readUnsignedByte(offset);
-        if (n > 4) {
-            throw new InvalidInputException("load report has " + n + " values, more than 4");
+        int count = readUnsignedByte(offset);
+        if (count > 4) {
+            throw new InvalidInputException("load report has " + count + " values, more than 4");
         }
-        float[] values = new float[n];
-        for (int i = 0; i < n; i++) {
+        float[] values = new float[count];
+        for (int i = 0; i < count; i++) {
             values[i] = frame.getFloat(eventOffset + offset + 1 + 4 * i);
         }
         return values;
@@ -165,13 +165,13 @@
     }
 
     private byte[] readContent(int offset) throws InvalidInputException {
-        long from = tailOffset + (frame.getInt(eventOffset + offset) & 0xffffffffL);
+        long start = tailOffset + (frame.getInt(eventOffset + offset) & 0xffffffffL);
         long length = frame.getInt(eventOffset + offset + 4) & 0xffffffffL;
-        if (from + length > frame.limit()) {
+        if (start + length > frame.limit()) {
             throw new InvalidInputException("content reaches beyond the frame");
         }
         byte[] content = new byte[(int) length];
-        frame.get((int) from, content);
+        frame.get((int) start, content);
         return content;
     }
 
--- a/src/main/java/terndyke/adapter/DeliverySettingsReader.java
+++ b/src/main/java/terndyke/adapter/DeliverySettingsReader.java
@@ -38,23 +38,23 @@
      * Reads settings from a map of paths to values, where a list of plain values is joined by commas. The flag says whether
      * the node reports when a final answer has been delivered.
      */
-    public static DeliverySettings read(long seed, Map<String, String> values, boolean endsTold)
+    public static DeliverySettings read(long seed, Map<String, String> values, boolean reportsFinalAnswerDelivery)
             throws InvalidInputException {
-        return new DeliverySettingsReader(values).readDeliverySettings(seed, endsTold);
+        return new DeliverySettingsReader(values).readDeliverySettings(seed, reportsFinalAnswerDelivery);
     }
 
-    private DeliverySettings readDeliverySettings(long seed, boolean endsTold) throws InvalidInputException {
+    private DeliverySettings readDeliverySettings(long seed, boolean reportsFinalAnswerDelivery) throws InvalidInputException {
         List<ServiceGrade> grades = new ArrayList<>();
-        int count = readInteger("classes.count");
-        for (int i = 0; i < count; i++) {
+        int gradeCount = readInteger("classes.count");
+        for (int i = 0; i < gradeCount; i++) {
             grades.add(readGrade("classes." + i + "."));
         }
         List<Double> quotas = new ArrayList<>();
-        int tenants = hasSetting("tenants.count") ? readInteger("tenants.count") : 0;
-        for (int i = 0; i < tenants; i++) {
+        int tenantCount = hasSetting("tenants.count") ? readInteger("tenants.count") : 0;
+        for (int i = 0; i < tenantCount; i++) {
             quotas.add(readNumber("tenants." + i + ".quotaPerS"));
         }
-        List<String> reported = readList("report.fields");
+        List<String> reportFields = readList("report.fields");
         return new DeliverySettings(seed, readInteger("balancers"), readInteger("rank"), readInteger("zone"),
                 readInteger("familyInfo.callsOut"),
                 readInteger("ceilings.maxOpen"), readInteger("ceilings.maxAttempts"), readBoolean("ceilings.secondCopies"),
@@ -64,13 +64,13 @@
                 readSecondsAsMicros("obligations.askEvery", 0), readListedRates(),
                 hasSetting("familyInfo.late") && readText("familyInfo.late").equals("by_half"), readNumber("overShareWorth", 1),
                 grades, quotas, readParsedList("familyInfo.kindApart", Boolean::valueOf),
-                readParsedList("familyInfo.perCall", Integer::valueOf), reported.indexOf("x0"), reported.indexOf("x1"),
+                readParsedList("familyInfo.perCall", Integer::valueOf), reportFields.indexOf("x0"), reportFields.indexOf("x1"),
                 readSecondsAsMicros("obligations.stopSendingWithin"), readNumber("obligations.fallMultiple"),
                 readSecondsAsMicros("obligations.overloadFor"), readNumber("obligations.coldShare"),
                 readSecondsAsMicros("obligations.cold"),
                 readSecondsAsMicros("obligations.keyQuiet", 0), readSecondsAsMicros("obligations.answerSlack"),
                 readSecondsAsMicros("resolution"),
-                readSecondsAsMicros("ceilings.connIdle", 0), endsTold, readHallFees(),
+                readSecondsAsMicros("ceilings.connIdle", 0), reportsFinalAnswerDelivery, readHallFees(),
                 readPrice("costs.crossZone", 0), readPrice("costs.handshake", 0));
     }
 
@@ -98,8 +98,8 @@
         return fees;
     }
 
-    private double readPrice(String key, double absent) throws InvalidInputException {
-        return checkPrice(key, readNumber(key, absent));
+    private double readPrice(String key, double defaultValue) throws InvalidInputException {
+        return checkPrice(key, readNumber(key, defaultValue));
     }
 
     private static double checkPrice(String key, double price) throws InvalidInputException {
@@ -109,18 +109,19 @@
         return price;
     }
 
-    private ServiceGrade readGrade(String at) throws InvalidInputException {
-        RepeatSemantics effect = switch (readText(at + "semantics")) {
+    private ServiceGrade readGrade(String prefix) throws InvalidInputException {
+        RepeatSemantics repeatSemantics = switch (readText(prefix + "semantics")) {
             case "retryable" -> RepeatSemantics.IDEMPOTENT;
             case "dedup" -> RepeatSemantics.DEDUPLICATED;
             case "fragile" -> RepeatSemantics.UNREPEATABLE;
-            default -> throw new InvalidInputException("ATTACH: setting " + at + "semantics has the unknown value "
-                    + readText(at + "semantics"));
+            default -> throw new InvalidInputException("ATTACH: setting " + prefix + "semantics has the unknown value "
+                    + readText(prefix + "semantics"));
         };
-        boolean any = hasSetting(at + "group") && readText(at + "group").equals("all");
-        return new ServiceGrade(effect, any, readSecondsAsMicros(at + "memorySpan", 0), readBoolean(at + "serialByKey", false),
-                readSecondsAsMicros(at + "target"), readNumber(at + "aimStretch", 0), readSecondsAsMicros(at + "deadline"),
-                readNumber(at + "points"), readNumber(at + "lateShare", 0));
+        boolean anyEndpointDeduplicates = hasSetting(prefix + "group") && readText(prefix + "group").equals("all");
+        return new ServiceGrade(repeatSemantics, anyEndpointDeduplicates, readSecondsAsMicros(prefix + "memorySpan", 0),
+                readBoolean(prefix + "serialByKey", false), readSecondsAsMicros(prefix + "target"),
+                readNumber(prefix + "aimStretch", 0), readSecondsAsMicros(prefix + "deadline"),
+                readNumber(prefix + "points"), readNumber(prefix + "lateShare", 0));
     }
 
     private boolean hasSetting(String key) {
@@ -143,8 +144,8 @@
         }
     }
 
-    private double readNumber(String key, double absent) throws InvalidInputException {
-        return hasSetting(key) ? readNumber(key) : absent;
+    private double readNumber(String key, double defaultValue) throws InvalidInputException {
+        return hasSetting(key) ? readNumber(key) : defaultValue;
     }
 
     private int readInteger(String key) throws InvalidInputException {
@@ -155,16 +156,16 @@
         return Math.round(readNumber(key) * 1e6);
     }
 
-    private long readSecondsAsMicros(String key, long absent) throws InvalidInputException {
-        return hasSetting(key) ? readSecondsAsMicros(key) : absent;
+    private long readSecondsAsMicros(String key, long defaultValue) throws InvalidInputException {
+        return hasSetting(key) ? readSecondsAsMicros(key) : defaultValue;
     }
 
     private boolean readBoolean(String key) throws InvalidInputException {
         return Boolean.parseBoolean(readText(key));
     }
 
-    private boolean readBoolean(String key, boolean absent) throws InvalidInputException {
-        return hasSetting(key) ? readBoolean(key) : absent;
+    private boolean readBoolean(String key, boolean defaultValue) throws InvalidInputException {
+        return hasSetting(key) ? readBoolean(key) : defaultValue;
     }
 
     private List<String> readList(String key) {
--- a/src/main/java/terndyke/adapter/ReplyWriter.java
+++ b/src/main/java/terndyke/adapter/ReplyWriter.java
@@ -16,9 +16,9 @@
     private int actionOffset;
 
     /** Starts the part of the frame that belongs to an instance: the actions up to the next call are its own. */
-    void writeInstance(int number) {
+    void writeInstance(int instance) {
         beginAction(7);
-        actionBuffer.putShort(actionOffset + 2, (short) number);
+        actionBuffer.putShort(actionOffset + 2, (short) instance);
     }
 
     /** Reports that the instance failed with an exception. */
@@ -28,15 +28,15 @@
     }
 
     void writeAction(Action action) {
-        if (action instanceof Action.SendShot shoot) {
+        if (action instanceof Action.SendShot sendShot) {
             beginAction(6);
-            actionBuffer.putLong(actionOffset + 2, shoot.id());
-            writeEndpoint(10, shoot.endpoint());
-            actionBuffer.putDouble(actionOffset + 16, shoot.deadline() / 1e6);
-        } else if (action instanceof Action.StartTimer wake) {
+            actionBuffer.putLong(actionOffset + 2, sendShot.id());
+            writeEndpoint(10, sendShot.endpoint());
+            actionBuffer.putDouble(actionOffset + 16, sendShot.deadline() / 1e6);
+        } else if (action instanceof Action.StartTimer startTimer) {
             beginAction(8);
-            actionBuffer.putDouble(actionOffset + 2, wake.delay() / 1e6);
-            actionBuffer.putInt(actionOffset + 10, wake.token());
+            actionBuffer.putDouble(actionOffset + 2, startTimer.delay() / 1e6);
+            actionBuffer.putInt(actionOffset + 10, startTimer.token());
         } else if (action instanceof Action.Recall recall) {
             beginAction(4);
             actionBuffer.putLong(actionOffset + 2, recall.id());
@@ -51,16 +51,16 @@
         } else if (action instanceof Action.Probe probe) {
             beginAction(10);
             writeEndpoint(2, probe.endpoint());
-        } else if (action instanceof Action.CloseIdleConnections drop) {
+        } else if (action instanceof Action.CloseIdleConnections closeIdle) {
             beginAction(11);
-            writeEndpoint(2, drop.endpoint());
-        } else if (action instanceof Action.SendPeerMessage note) {
+            writeEndpoint(2, closeIdle.endpoint());
+        } else if (action instanceof Action.SendPeerMessage peerMessage) {
             beginAction(9);
-            actionBuffer.putShort(actionOffset + 2, (short) note.peer());
-            writeContent(4, note.content());
-        } else if (action instanceof Action.SetListSubscription follow) {
+            actionBuffer.putShort(actionOffset + 2, (short) peerMessage.peer());
+            writeContent(4, peerMessage.content());
+        } else if (action instanceof Action.SetListSubscription subscription) {
             beginAction(5);
-            actionBuffer.put(actionOffset + 2, (byte) (follow.subscribed() ? 1 : 0));
+            actionBuffer.put(actionOffset + 2, (byte) (subscription.subscribed() ? 1 : 0));
         } else if (action instanceof Action.FetchList) {
             beginAction(1);
         } else if (action instanceof Action.Log log) {
@@ -71,9 +71,9 @@
 
     /** Returns the frame of all actions written since the last call, and starts the next one. */
     byte[] finishFrame() {
-        int body = actionBuffer.position();
-        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + body + tailBytes.size());
-        frame.putInt(body / ACTION_BYTES).putInt(frame.capacity()).put(actionBuffer.array(), 0, body)
+        int actionBytes = actionBuffer.position();
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + actionBytes + tailBytes.size());
+        frame.putInt(actionBytes / ACTION_BYTES).putInt(frame.capacity()).put(actionBuffer.array(), 0, actionBytes)
                 .put(tailBytes.toByteArray());
         actionBuffer.clear();
         tailBytes.reset();
--- a/src/main/java/terndyke/adapter/SimulatorAdapter.java
+++ b/src/main/java/terndyke/adapter/SimulatorAdapter.java
@@ -43,14 +43,14 @@
     }
 
     private static byte[] readFrame(InputStream input) throws IOException, InvalidInputException {
-        byte[] length = input.readNBytes(4);
-        if (length.length == 0) {
+        byte[] lengthField = input.readNBytes(4);
+        if (lengthField.length == 0) {
             return null;
         }
-        if (length.length < 4) {
+        if (lengthField.length < 4) {
             throw new InvalidInputException("input ends within a frame's length field");
         }
-        int size = ByteBuffer.wrap(length).getInt();
+        int size = ByteBuffer.wrap(lengthField).getInt();
         if (size < BatchReader.HEADER_BYTES || size > MAX_FRAME_BYTES) {
             throw new InvalidInputException("frame length " + (size & 0xffffffffL) + " is out of range");
         }
@@ -58,39 +58,39 @@
         if (rest.length < size - 4) {
             throw new InvalidInputException("input ends after " + (rest.length + 4) + " of a frame's " + size + " bytes");
         }
-        return ByteBuffer.allocate(size).put(length).put(rest).array();
+        return ByteBuffer.allocate(size).put(lengthField).put(rest).array();
     }
 
     /** Processes one batch frame and returns the reply frame. */
     byte[] processFrame(byte[] frame) throws InvalidInputException {
         BatchReader.Batch batch = reader.read(ByteBuffer.wrap(frame));
-        Map<Integer, List<Event>> told = new LinkedHashMap<>();
-        for (BatchReader.InstanceInput item : batch.inputs()) {
-            if (item.settings() != null) {
-                instances.put(item.instance(), new Dispatcher(item.settings()));
-                told.put(item.instance(), new ArrayList<>());
-            } else if (!instances.containsKey(item.instance())) {
-                throw new InvalidInputException("event for instance " + item.instance() + ", which has not been attached");
-            } else if (item.exit()) {
-                instances.remove(item.instance());
-                told.remove(item.instance());
+        Map<Integer, List<Event>> eventsByInstance = new LinkedHashMap<>();
+        for (BatchReader.InstanceInput input : batch.inputs()) {
+            if (input.settings() != null) {
+                instances.put(input.instance(), new Dispatcher(input.settings()));
+                eventsByInstance.put(input.instance(), new ArrayList<>());
+            } else if (!instances.containsKey(input.instance())) {
+                throw new InvalidInputException("event for instance " + input.instance() + ", which has not been attached");
+            } else if (input.exit()) {
+                instances.remove(input.instance());
+                eventsByInstance.remove(input.instance());
             } else {
-                told.computeIfAbsent(item.instance(), n -> new ArrayList<>()).add(item.event());
+                eventsByInstance.computeIfAbsent(input.instance(), n -> new ArrayList<>()).add(input.event());
             }
         }
-        told.forEach((number, events) -> runInstance(number, batch.now(), events));
+        eventsByInstance.forEach((number, events) -> runInstance(number, batch.now(), events));
         return writer.finishFrame();
     }
 
-    private void runInstance(int number, long now, List<Event> events) {
+    private void runInstance(int instance, long now, List<Event> events) {
         try {
-            List<Action> actions = instances.get(number).handleEvents(now, events);
+            List<Action> actions = instances.get(instance).handleEvents(now, events);
             if (!actions.isEmpty()) {
-                writer.writeInstance(number);
+                writer.writeInstance(instance);
                 actions.forEach(writer::writeAction);
             }
         } catch (RuntimeException e) {
-            writer.writeInstance(number);
+            writer.writeInstance(instance);
             StackTraceElement[] trace = e.getStackTrace();
             writer.writeCrash(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
--- a/src/main/java/terndyke/node/discovery/EndpointRegistry.java
+++ b/src/main/java/terndyke/node/discovery/EndpointRegistry.java
@@ -69,6 +69,7 @@
         this.kinds = List.copyOf(kinds);
     }
 
+    /** The revision of the list applied last. */
     public long version() {
         return version;
     }
@@ -92,48 +93,48 @@
      * Applies a list from discovery, given as flat JSON. Entries that cannot be read are skipped, and a description of each
      * is added to the given list.
      */
-    public Event.ListReceived update(Map<String, String> told, long now, List<String> unread) throws IOException {
-        long rev;
+    public Event.ListReceived update(Map<String, String> fields, long now, List<String> unreadableEntries) throws IOException {
+        long revision;
         int count;
         try {
-            rev = Long.parseLong(told.get("rev"));
-            count = Integer.parseInt(told.getOrDefault("targets.count", "0"));
+            revision = Long.parseLong(fields.get("rev"));
+            count = Integer.parseInt(fields.getOrDefault("targets.count", "0"));
         } catch (NumberFormatException e) {
-            throw new IOException("rev or targets.count is missing or not a number");
+            throw new IOException("rev is missing, or rev or the number of targets is not an integer");
         }
         List<ListedEndpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             try {
-                entries.add(applyEntry(told, "targets." + i + ".", now, entries));
+                entries.add(applyEntry(fields, "targets." + i + ".", now, entries));
             } catch (IllegalArgumentException e) {
-                unread.add("entry " + i + ": " + e.getMessage());
+                unreadableEntries.add("entry " + i + ": " + e.getMessage());
             }
         }
-        version = rev;
-        boolean whole = Boolean.parseBoolean(told.get("all"));
-        if (whole) {
+        version = revision;
+        boolean complete = Boolean.parseBoolean(fields.get("all"));
+        if (complete) {
             Set<ListedEndpoint> listed = new HashSet<>(entries);
-            byNumber.values().stream().filter(member -> !listed.contains(member.listEntry))
-                    .forEach(member -> markGone(member, now));
+            byNumber.values().stream().filter(endpoint -> !listed.contains(endpoint.listEntry))
+                    .forEach(endpoint -> markGone(endpoint, now));
         }
-        return new Event.ListReceived(entries, whole);
+        return new Event.ListReceived(entries, complete);
     }
 
-    private void markGone(Endpoint member, long now) {
-        if (goneEndpoints.add(member)) {
-            ListedEndpoint was = member.listEntry;
-            member.goneAt = now;
-            member.listEntry = new ListedEndpoint(was.endpoint(), was.zone(), was.kind(), was.rate(), EndpointState.GONE,
-                    was.joined(), was.destination());
-            removedPeers.add(member.peer);
+    private void markGone(Endpoint endpoint, long now) {
+        if (goneEndpoints.add(endpoint)) {
+            ListedEndpoint previousEntry = endpoint.listEntry;
+            endpoint.goneAt = now;
+            endpoint.listEntry = new ListedEndpoint(previousEntry.endpoint(), previousEntry.zone(), previousEntry.kind(),
+                    previousEntry.rate(), EndpointState.GONE, previousEntry.joined(), previousEntry.destination());
+            removedPeers.add(endpoint.peer);
         }
     }
 
     /** Returns and clears the peers whose endpoints went or moved to another address since the last call. */
     public List<ConnectionPool.Peer> pollRemovedPeers() {
-        List<ConnectionPool.Peer> since = List.copyOf(removedPeers);
+        List<ConnectionPool.Peer> removed = List.copyOf(removedPeers);
         removedPeers.clear();
-        return since;
+        return removed;
     }
 
     /**
@@ -141,61 +142,62 @@
      * against unbounded growth when lists always bring new endpoints. An evicted endpoint that is listed again counts as
      * new, and the decision module knows nothing of its past.
      */
-    public void evictGone(long before, int atMost) {
-        for (Iterator<Endpoint> all = goneEndpoints.iterator(); all.hasNext();) {
-            Endpoint member = all.next();
-            if (member.goneAt >= before && goneEndpoints.size() <= atMost) {
+    public void evictGone(long goneBefore, int maxCount) {
+        for (Iterator<Endpoint> iterator = goneEndpoints.iterator(); iterator.hasNext();) {
+            Endpoint endpoint = iterator.next();
+            if (endpoint.goneAt >= goneBefore && goneEndpoints.size() <= maxCount) {
                 return;
             }
-            all.remove();
-            byUid.remove(member.uid, member);
-            byNumber.remove(member.number);
+            iterator.remove();
+            byUid.remove(endpoint.uid, endpoint);
+            byNumber.remove(endpoint.number);
         }
     }
 
     /** Applies a list from discovery, given as the body of its response. */
-    public Event.ListReceived update(byte[] json, long now, List<String> unread) throws IOException {
-        return update(FlatJson.read(json), now, unread);
+    public Event.ListReceived update(byte[] json, long now, List<String> unreadableEntries) throws IOException {
+        return update(FlatJson.read(json), now, unreadableEntries);
     }
 
-    private ListedEndpoint applyEntry(Map<String, String> told, String at, long now, List<ListedEndpoint> entries) {
-        String uid = told.get(at + "uid");
-        InetSocketAddress address = ConnectionPool.parseAddress(told.get(at + "endpoint"));
-        EndpointState standing = switch (String.valueOf(told.get(at + "state"))) {
+    private ListedEndpoint applyEntry(Map<String, String> fields, String prefix, long now, List<ListedEndpoint> entries) {
+        String uid = fields.get(prefix + "uid");
+        InetSocketAddress address = ConnectionPool.parseAddress(fields.get(prefix + "endpoint"));
+        EndpointState state = switch (String.valueOf(fields.get(prefix + "state"))) {
             case "active" -> EndpointState.READY;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.GONE;
-            default -> throw new IllegalArgumentException("unknown state " + told.get(at + "state"));
+            default -> throw new IllegalArgumentException("unknown state " + fields.get(prefix + "state"));
         };
-        Endpoint known = uid == null ? null : byUid.get(uid);
-        String group = told.get(at + "pod_group");
-        if (known != null && group != null && Integer.parseInt(group) != known.destination()) {
-            markGone(known, now); // the number stays with the old destination, and the entry gets a new one
-            entries.add(known.listEntry);
-            known = null;
+        Endpoint knownEndpoint = uid == null ? null : byUid.get(uid);
+        String podGroup = fields.get(prefix + "pod_group");
+        if (knownEndpoint != null && podGroup != null && Integer.parseInt(podGroup) != knownEndpoint.destination()) {
+            markGone(knownEndpoint, now); // the number stays with the old destination, and the entry gets a new one
+            entries.add(knownEndpoint.listEntry);
+            knownEndpoint = null;
         }
-        if (uid == null || address == null && (known == null || standing == EndpointState.READY)) {
+        if (uid == null || address == null && (knownEndpoint == null || state == EndpointState.READY)) {
             throw new IllegalArgumentException("uid is missing, or endpoint is not a numeric address with a port");
         }
-        int destination = known != null ? known.destination() : Integer.parseInt(group);
-        Endpoint member = known != null ? known : new Endpoint(uid, ++lastNumber);
-        float rate = Float.parseFloat(told.getOrDefault(at + "capacity_hint", "0"));
-        member.listEntry = new ListedEndpoint(member.number, Math.max(0, zones.indexOf(told.get(at + "az"))),
-                Math.max(0, kinds.indexOf(told.get(at + "model"))), Float.isFinite(rate) ? rate : 0, standing,
-                Long.parseLong(told.getOrDefault(at + "boot_ms", "0")) * 1000, destination);
-        ConnectionPool.Peer was = member.peer;
-        boolean moved = address != null && (was == null || !was.address().equals(address) || goneEndpoints.contains(member));
-        if (was != null && moved) {
-            removedPeers.add(was);
+        int destination = knownEndpoint != null ? knownEndpoint.destination() : Integer.parseInt(podGroup);
+        Endpoint endpoint = knownEndpoint != null ? knownEndpoint : new Endpoint(uid, ++lastNumber);
+        float rate = Float.parseFloat(fields.getOrDefault(prefix + "capacity_hint", "0"));
+        endpoint.listEntry = new ListedEndpoint(endpoint.number, Math.max(0, zones.indexOf(fields.get(prefix + "az"))),
+                Math.max(0, kinds.indexOf(fields.get(prefix + "model"))), Float.isFinite(rate) ? rate : 0, state,
+                Long.parseLong(fields.getOrDefault(prefix + "boot_ms", "0")) * 1000, destination);
+        ConnectionPool.Peer previousPeer = endpoint.peer;
+        boolean peerChanged = address != null && (previousPeer == null || !previousPeer.address().equals(address)
+                || goneEndpoints.contains(endpoint));
+        if (previousPeer != null && peerChanged) {
+            removedPeers.add(previousPeer);
         }
-        AtomicLong toldAt = lastRetryAfterByDestination.computeIfAbsent(destination, number -> new AtomicLong());
-        member.peer = moved ? new ConnectionPool.Peer(address, toldAt) : was;
-        goneEndpoints.remove(member);
-        if (standing == EndpointState.GONE) {
-            markGone(member, now);
+        AtomicLong lastRetryAfter = lastRetryAfterByDestination.computeIfAbsent(destination, number -> new AtomicLong());
+        endpoint.peer = peerChanged ? new ConnectionPool.Peer(address, lastRetryAfter) : previousPeer;
+        goneEndpoints.remove(endpoint);
+        if (state == EndpointState.GONE) {
+            markGone(endpoint, now);
         }
-        byUid.put(uid, member);
-        byNumber.put(member.number, member);
-        return member.listEntry;
+        byUid.put(uid, endpoint);
+        byNumber.put(endpoint.number, endpoint);
+        return endpoint.listEntry;
     }
 }
--- a/src/main/java/terndyke/node/discovery/Watch.java
+++ b/src/main/java/terndyke/node/discovery/Watch.java
@@ -15,10 +15,10 @@
 
 /**
  * Keeps the endpoint list up to date by long polls of discovery: the next call starts as soon as the last one is answered.
- * A call without an answer in time has failed. The first call, and each one after a time-out, requests the whole list
- * without waiting for changes, so that it is soon either answered or known to be lost; after a refusal the watch continues
- * from the known version. Where the list comes on request only, calls start only when requested. All methods belong to the
- * decision thread.
+ * A call without an answer in time has failed. The first call, and each one after a call that brought no answer or no
+ * readable list, requests the whole list without waiting for changes, so that it is soon either answered or known to be
+ * lost; after a refusal the watch continues from the known version. Where the list comes on request only, calls start only
+ * when requested. All methods belong to the decision thread.
  *
  * With each consecutive failure the next call gets a longer time-out, and after a refusal it starts later. Both are
  * randomized and stay within the time after which a change counts as known to the node. Guards against nodes that keep
@@ -46,16 +46,16 @@
     private int consecutiveFailures;
     private final Random random; // spreads the retries of nodes whose calls failed at the same time
 
-    public Watch(Limits limits, InetSocketAddress discovery, EndpointRegistry catalogue, ConnectionPool calls, NodeLog log,
-            boolean onRequest, Random chance, BiConsumer<Long, Call.Result> whenAnswered) {
-        this.listOnRequest = onRequest;
-        this.random = chance;
+    public Watch(Limits limits, InetSocketAddress discovery, EndpointRegistry endpointRegistry, ConnectionPool connectionPool,
+            NodeLog log, boolean listOnRequest, Random random, BiConsumer<Long, Call.Result> resultListener) {
+        this.listOnRequest = listOnRequest;
+        this.random = random;
         this.limits = limits;
         this.discovery = ConnectionPool.Peer.forPlatform(discovery);
-        this.endpointRegistry = catalogue;
-        this.connectionPool = calls;
+        this.endpointRegistry = endpointRegistry;
+        this.connectionPool = connectionPool;
         this.log = log;
-        this.resultListener = whenAnswered;
+        this.resultListener = resultListener;
     }
 
     /** Times out the call in flight and starts the next one, as due. Call it after handling the results received so far. */
@@ -95,11 +95,11 @@
      * within the time after which a change counts as known to the node.
      */
     private long fullListTimeout() {
-        int times = listOnRequest ? 1 : Math.max(1, Math.min(limits.maxWatchTimeoutMultiplier(), consecutiveFailures));
-        return (long) (limits.responseTimeoutMicros() * (times - (times > 1 ? random.nextDouble() / 2 : 0)));
+        int multiplier = listOnRequest ? 1 : Math.max(1, Math.min(limits.maxWatchTimeoutMultiplier(), consecutiveFailures));
+        return (long) (limits.responseTimeoutMicros() * (multiplier - (multiplier > 1 ? random.nextDouble() / 2 : 0)));
     }
 
-    /** The randomized delay after a result that is not a readable list; it doubles with each consecutive failure. */
+    /** The randomized delay after a result that is not a readable list; it doubles with each failure in a row, up to a limit. */
     private long retryDelay() {
         return (long) (Math.min(limits.responseTimeoutMicros(),
                 limits.retryDelayMicros() << Math.min(consecutiveFailures, 10) - 1) * (0.5 + random.nextDouble()));
@@ -113,9 +113,9 @@
 
     /** Returns true once after a failed call, where the list comes on request and has to be requested again. */
     public boolean pollFailure() {
-        boolean tell = failureUnreported && listOnRequest;
+        boolean failed = failureUnreported && listOnRequest;
         failureUnreported = false;
-        return tell;
+        return failed;
     }
 
     /** Restarts the watch at another address of discovery, with the whole list; until that arrives the old list stays in use. */
@@ -135,18 +135,18 @@
     private void startCall(long now) {
         String path = "/catalog/members" + (fullListNeeded ? ""
                 : "?after=" + endpointRegistry.version() + "&wait_ms=" + limits.watchWaitMicros() / 1000);
-        long sent = ++callNumber;
+        long startedCallNumber = ++callNumber;
         connection = connectionPool.startCall(discovery,
                 new Call("GET", path, new String[] {"Host", discovery.hostHeader()}, EMPTY_BODY), now,
-                result -> resultListener.accept(sent, result));
+                result -> resultListener.accept(startedCallNumber, result));
         callInFlight = connection != null;
         dueAt = now + (!callInFlight ? limits.retryDelayMicros() : fullListNeeded ? fullListTimeout()
                 : limits.watchWaitMicros() + limits.watchSlackMicros());
     }
 
     /** Handles the result of a call. Returns its list, or null if it holds no readable list or its call was given up. */
-    public Event handleResult(long answeredRound, Call.Result result, long now) {
-        if (!callInFlight || answeredRound != callNumber) {
+    public Event handleResult(long answeredCallNumber, Call.Result result, long now) {
+        if (!callInFlight || answeredCallNumber != callNumber) {
             return null;
         }
         callInFlight = false;
@@ -158,12 +158,12 @@
             return null;
         }
         try {
-            List<String> unread = new ArrayList<>();
-            Event.ListReceived list = endpointRegistry.update(result.body(), now, unread);
-            unread.forEach(text -> log.warn("list: " + text));
+            List<String> unreadableEntries = new ArrayList<>();
+            Event.ListReceived list = endpointRegistry.update(result.body(), now, unreadableEntries);
+            unreadableEntries.forEach(text -> log.warn("list: " + text));
             firstCallCompleted = true;
             consecutiveFailures = 0;
-            fullListNeeded = !unread.isEmpty(); // later changes would not repeat the unreadable entries
+            fullListNeeded = !unreadableEntries.isEmpty(); // later changes would not repeat the unreadable entries
             dueAt = fullListNeeded ? now + limits.retryDelayMicros() : now;
             logStatusChange(true, "discovery answers again");
             return list;
@@ -175,9 +175,9 @@
         }
     }
 
-    private void logStatusChange(boolean answered, String text) {
-        if (unavailable == answered) {
-            unavailable = !answered;
+    private void logStatusChange(boolean available, String text) {
+        if (unavailable == available) {
+            unavailable = !available;
             log.info(text);
         }
     }
--- a/src/main/java/terndyke/node/journal/Journal.java
+++ b/src/main/java/terndyke/node/journal/Journal.java
@@ -30,66 +30,67 @@
     private RandomAccessFile file;
     private long size;
 
-    private Journal(Path folder, long most, NodeLog log) {
+    private Journal(Path folder, long maxBytes, NodeLog log) {
         this.currentPath = folder.resolve("journal");
         this.nextPath = folder.resolve("journal.next");
-        this.maxBytes = most;
+        this.maxBytes = maxBytes;
         this.log = log;
     }
 
     /** Opens the journal in the folder and adds its entries to the given list. A torn tail is truncated. */
-    public static Journal open(Path folder, long most, NodeLog log, List<JournalEntry> held) throws IOException {
+    public static Journal open(Path folder, long maxBytes, NodeLog log, List<JournalEntry> entries) throws IOException {
         Files.createDirectories(folder);
-        Journal journal = new Journal(folder, most, log);
+        Journal journal = new Journal(folder, maxBytes, log);
         Files.deleteIfExists(journal.nextPath); // left by an unfinished compaction; the current file holds all entries
         journal.file = new RandomAccessFile(journal.currentPath.toFile(), "rw");
-        journal.readEntries(held);
+        journal.readEntries(entries);
         return journal;
     }
 
-    private void readEntries(List<JournalEntry> held) throws IOException {
+    private void readEntries(List<JournalEntry> entries) throws IOException {
         long length = file.length();
         byte[] bytes = new byte[(int) Math.min(length, Integer.MAX_VALUE - 8)];
         file.readFully(bytes);
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        for (int at = 0; at + FRAME_HEADER_BYTES < bytes.length; at++) {
-            byte[] payload = readPayload(all, at);
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        for (int offset = 0; offset + FRAME_HEADER_BYTES < bytes.length; offset++) {
+            byte[] payload = readPayload(buffer, offset);
             if (payload == null) {
                 continue; // a torn tail, or a damaged entry before intact ones
             }
-            if (at > size) {
-                log.warn("journal: " + (at - size) + " damaged bytes skipped at byte " + size);
+            if (offset > size) {
+                log.warn("journal: " + (offset - size) + " damaged bytes skipped at byte " + size);
             }
             try {
-                held.add(JournalEntryCodec.decode(payload));
+                entries.add(JournalEntryCodec.decode(payload));
             } catch (IOException e) {
-                log.warn("journal: entry at byte " + at + " skipped: " + e.getMessage());
+                log.warn("journal: entry at byte " + offset + " skipped: " + e.getMessage());
             }
-            size = at + FRAME_HEADER_BYTES + payload.length;
-            at = (int) size - 1;
+            size = offset + FRAME_HEADER_BYTES + payload.length;
+            offset = (int) size - 1;
         }
         if (size < length) {
-            log.warn("journal: torn tail of " + (length - size) + " bytes truncated after " + held.size() + " entries");
+            log.warn("journal: torn tail of " + (length - size) + " bytes truncated after " + entries.size() + " entries");
             file.setLength(size);
         }
         file.seek(size);
     }
 
     /** The payload of the entry that starts at that position, or null if no intact entry does. */
-    private static byte[] readPayload(ByteBuffer all, int at) {
-        int length = all.getInt(at);
-        if (length < MIN_PAYLOAD_BYTES || length > MAX_PAYLOAD_BYTES || length > all.capacity() - at - FRAME_HEADER_BYTES) {
+    private static byte[] readPayload(ByteBuffer buffer, int offset) {
+        int length = buffer.getInt(offset);
+        if (length < MIN_PAYLOAD_BYTES || length > MAX_PAYLOAD_BYTES
+                || length > buffer.capacity() - offset - FRAME_HEADER_BYTES) {
             return null;
         }
         byte[] payload = new byte[length];
-        all.get(at + FRAME_HEADER_BYTES, payload);
-        return checksum(payload) == all.getInt(at + 4) ? payload : null;
+        buffer.get(offset + FRAME_HEADER_BYTES, payload);
+        return checksum(payload) == buffer.getInt(offset + 4) ? payload : null;
     }
 
     private static int checksum(byte[] payload) {
-        CRC32 sum = new CRC32();
-        sum.update(payload);
-        return (int) sum.getValue();
+        CRC32 crc = new CRC32();
+        crc.update(payload);
+        return (int) crc.getValue();
     }
 
     private static byte[] encodeFrame(JournalEntry entry) {
@@ -103,10 +104,11 @@
     }
 
     /** The number of bytes that can be appended with enough space left for a compaction to the given number of live bytes. */
-    public long remainingBytes(long live) {
-        return maxBytes - roundUpToBlock(size) - roundUpToBlock(live);
+    public long remainingBytes(long liveBytes) {
+        return maxBytes - roundUpToBlock(size) - roundUpToBlock(liveBytes);
     }
 
+    /** The size of the file in bytes. */
     public long size() {
         return size;
     }
@@ -133,27 +135,27 @@
     }
 
     /** Replaces the file by one with only the given entries. Returns false and keeps the old one if there is no room for both. */
-    public boolean compact(Iterable<JournalEntry> live) throws IOException {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(1 << 16);
-        for (JournalEntry entry : live) {
-            whole.writeBytes(encodeFrame(entry));
+    public boolean compact(Iterable<JournalEntry> liveEntries) throws IOException {
+        ByteArrayOutputStream contents = new ByteArrayOutputStream(1 << 16);
+        for (JournalEntry entry : liveEntries) {
+            contents.writeBytes(encodeFrame(entry));
         }
-        if (roundUpToBlock(size) + roundUpToBlock(whole.size()) > maxBytes) {
+        if (roundUpToBlock(size) + roundUpToBlock(contents.size()) > maxBytes) {
             return false;
         }
-        RandomAccessFile fresh = new RandomAccessFile(nextPath.toFile(), "rw");
+        RandomAccessFile newFile = new RandomAccessFile(nextPath.toFile(), "rw");
         try {
-            fresh.setLength(0);
-            fresh.write(whole.toByteArray());
+            newFile.setLength(0);
+            newFile.write(contents.toByteArray());
             Files.move(nextPath, currentPath, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            fresh.close();
+            newFile.close();
             Files.deleteIfExists(nextPath);
             throw e;
         }
         file.close();
-        file = fresh;
-        size = whole.size();
+        file = newFile;
+        size = contents.size();
         return true;
     }
 
--- a/src/main/java/terndyke/node/journal/JournalEntryCodec.java
+++ b/src/main/java/terndyke/node/journal/JournalEntryCodec.java
@@ -30,36 +30,36 @@
     }
 
     private static void write(JournalEntry entry, DataOutputStream out) throws IOException {
-        if (entry instanceof JournalEntry.RecordAccepted taken) {
+        if (entry instanceof JournalEntry.RecordAccepted accepted) {
             out.writeByte(1);
-            out.writeLong(taken.number());
-            writeText(out, taken.id());
-            out.writeInt(taken.grade());
-            out.writeInt(taken.tenant());
-            out.writeLong(taken.key());
-            out.writeInt(taken.destination());
-            writeText(out, taken.idempotencyKey());
-            out.writeLong(taken.acceptedAt());
-            out.writeLong(taken.abandonAt());
-            out.writeInt(taken.body().length);
-            out.write(taken.body());
-        } else if (entry instanceof JournalEntry.ShotFired fired) {
+            out.writeLong(accepted.number());
+            writeText(out, accepted.id());
+            out.writeInt(accepted.grade());
+            out.writeInt(accepted.tenant());
+            out.writeLong(accepted.key());
+            out.writeInt(accepted.destination());
+            writeText(out, accepted.idempotencyKey());
+            out.writeLong(accepted.acceptedAt());
+            out.writeLong(accepted.abandonAt());
+            out.writeInt(accepted.body().length);
+            out.write(accepted.body());
+        } else if (entry instanceof JournalEntry.ShotFired shotFired) {
             out.writeByte(2);
-            out.writeLong(fired.number());
-            out.writeInt(fired.shot());
-            writeText(out, fired.endpointUid());
-            out.writeInt(fired.zone());
-            out.writeLong(fired.firedAt());
-        } else if (entry instanceof JournalEntry.ShotEnded over) {
+            out.writeLong(shotFired.number());
+            out.writeInt(shotFired.shot());
+            writeText(out, shotFired.endpointUid());
+            out.writeInt(shotFired.zone());
+            out.writeLong(shotFired.firedAt());
+        } else if (entry instanceof JournalEntry.ShotEnded shotEnded) {
             out.writeByte(3);
-            out.writeLong(over.number());
-            out.writeInt(over.shot());
-            out.writeByte(over.ending().ordinal());
-        } else if (entry instanceof JournalEntry.RecordEnded ended) {
+            out.writeLong(shotEnded.number());
+            out.writeInt(shotEnded.shot());
+            out.writeByte(shotEnded.ending().ordinal());
+        } else if (entry instanceof JournalEntry.RecordEnded recordEnded) {
             out.writeByte(4);
-            out.writeLong(ended.number());
-            out.writeByte(ended.outcome().ordinal());
-            out.writeLong(ended.retryAfter());
+            out.writeLong(recordEnded.number());
+            out.writeByte(recordEnded.outcome().ordinal());
+            out.writeLong(recordEnded.retryAfter());
         } else {
             out.writeByte(5);
             out.writeLong(entry.number());
--- a/src/test/java/terndyke/adapter/SimulatorProtocolTest.java
+++ b/src/test/java/terndyke/adapter/SimulatorProtocolTest.java
@@ -21,6 +21,7 @@
 import terndyke.api.ListedEndpoint;
 import terndyke.api.ListedEndpoint.EndpointState;
 
+/** Checks the binary frames of the simulator adapter byte by byte, and its messages on malformed input. */
 class SimulatorProtocolTest {
     private static byte[] parseHex(String hex) {
         return HexFormat.of().parseHex(hex.replaceAll("\\s", ""));
@@ -75,10 +76,10 @@
         frame.putInt(frame.capacity()).putDouble(8.0).putInt(3);
         frame.put(parseHex(padHex("000b 00 00000000 00000002", 48))).put(parseHex(padHex("000c 0003", 48)));
         frame.put(parseHex(padHex("0002 0000000000000029 00 01", 48))).put(tail);
-        Event.ListReceived told = (Event.ListReceived) new BatchReader().read(frame).inputs().get(0).event();
-        assertTrue(told.complete());
+        Event.ListReceived list = (Event.ListReceived) new BatchReader().read(frame).inputs().get(0).event();
+        assertTrue(list.complete());
         assertEquals(new ListedEndpoint(0x0a9011f213b4L, 1, 0, 1.5f, EndpointState.DRAINING, 6_100_000, 57),
-                told.entries().get(1));
+                list.entries().get(1));
     }
 
     @Test
--- a/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
+++ b/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
@@ -19,6 +19,7 @@
 import terndyke.api.ListedEndpoint.EndpointState;
 import terndyke.node.http.ConnectionPool;
 
+/** Applies lists to the registry as discovery sends them, readable and not. */
 class EndpointRegistryTest {
     private static final long NOW_MICROS = 1_000_000;
 
@@ -37,9 +38,9 @@
 
     @Test
     void anEntryIsReadWhole() throws IOException {
-        Event.ListReceived told = update(41, true, targetJson("s-1", "127.0.0.9:8443", "active"));
-        assertTrue(told.complete());
-        assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, EndpointState.READY, 12_000, 3)), told.entries());
+        Event.ListReceived list = update(41, true, targetJson("s-1", "127.0.0.9:8443", "active"));
+        assertTrue(list.complete());
+        assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, EndpointState.READY, 12_000, 3)), list.entries());
         assertEquals(41, endpointRegistry.version());
         assertTrue(endpointRegistry.hasDestination(3));
         assertFalse(endpointRegistry.hasDestination(4));
@@ -48,19 +49,19 @@
     @Test
     void anEndpointKeepsItsNumberAndTakesItsNewAddress() throws IOException {
         update(1, true, targetJson("s-1", "127.0.0.9:1", "active"), targetJson("s-2", "127.0.0.9:2", "active"));
-        Event.ListReceived told = update(2, false, targetJson("s-2", "127.0.0.9:3", "leaving"));
-        assertFalse(told.complete());
-        assertEquals(1, told.entries().get(0).endpoint());
-        assertEquals(EndpointState.DRAINING, told.entries().get(0).state());
+        Event.ListReceived list = update(2, false, targetJson("s-2", "127.0.0.9:3", "leaving"));
+        assertFalse(list.complete());
+        assertEquals(1, list.entries().get(0).endpoint());
+        assertEquals(EndpointState.DRAINING, list.entries().get(0).state());
         assertEquals(3, endpointRegistry.findEndpoint("s-2").peer().address().getPort());
     }
 
     @Test
     void endpointThatChangesDestinationIsGoneAndListedAsNewEndpoint() throws IOException {
         update(1, true, targetJson("s-1", "127.0.0.9:1", "active"));
-        Event.ListReceived told = update(2, false, targetJson("s-1", "127.0.0.9:1", "active").replace(":3,", ":5,"));
-        assertEquals(List.of(EndpointState.GONE, EndpointState.READY), told.entries().stream().map(e -> e.state()).toList());
-        assertEquals(List.of(3, 5), told.entries().stream().map(e -> e.destination()).toList());
+        Event.ListReceived list = update(2, false, targetJson("s-1", "127.0.0.9:1", "active").replace(":3,", ":5,"));
+        assertEquals(List.of(EndpointState.GONE, EndpointState.READY), list.entries().stream().map(e -> e.state()).toList());
+        assertEquals(List.of(3, 5), list.entries().stream().map(e -> e.destination()).toList());
         assertEquals(3, endpointRegistry.findEndpoint(0).destination());
         assertEquals(1, endpointRegistry.pollRemovedPeers().size());
     }
@@ -93,10 +94,10 @@
     }
 
     @Test
-    void anEntryThatCannotBeReadIsPassedOver() throws IOException {
-        Event.ListReceived told = update(1, true, targetJson("s-1", "some.host:1", "active"),
+    void unreadableEntryIsSkippedAndReported() throws IOException {
+        Event.ListReceived list = update(1, true, targetJson("s-1", "some.host:1", "active"),
                 targetJson("s-2", "127.0.0.9:2", "asleep"), "{}", targetJson("s-3", "127.0.0.9:3", "active"));
-        assertEquals(1, told.entries().size());
+        assertEquals(1, list.entries().size());
         assertEquals(3, unreadableEntries.size());
     }
 
--- a/src/test/java/terndyke/node/discovery/WatchTest.java
+++ b/src/test/java/terndyke/node/discovery/WatchTest.java
@@ -58,10 +58,10 @@
         createWatch(false);
     }
 
-    private void createWatch(boolean onRequest) {
+    private void createWatch(boolean listOnRequest) {
         watch = new Watch(limits, new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()),
-                new EndpointRegistry(List.of("east"), List.of("a")), connectionPool, NodeFixtures.NO_LOG, onRequest,
-                new Random(1), (round, result) -> results.add(new NumberedResult(round, result)));
+                new EndpointRegistry(List.of("east"), List.of("a")), connectionPool, NodeFixtures.NO_LOG, listOnRequest,
+                new Random(1), (callNumber, result) -> results.add(new NumberedResult(callNumber, result)));
     }
 
     @AfterEach
@@ -91,21 +91,22 @@
     private boolean answer(String status, String body) throws Exception {
         connection.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
-        NumberedResult answered = results.poll(30, TimeUnit.SECONDS);
+        NumberedResult numberedResult = results.poll(30, TimeUnit.SECONDS);
         connectionPool.release(freedConnections.poll(30, TimeUnit.SECONDS), now);
-        return watch.handleResult(answered.callNumber, answered.result, now) != null;
+        return watch.handleResult(numberedResult.callNumber, numberedResult.result, now) != null;
     }
 
     /** Leaves the call in flight unanswered until it times out; the next one comes on a new connection. */
     private void timeOutCall() throws Exception {
-        long broken = watch.dueAt();
-        now = broken - 1;
+        long timeoutAt = watch.dueAt();
+        now = timeoutAt - 1;
         watch.runDueActions(now);
-        assertEquals(broken, watch.dueAt(), "a call must wait until its time-out");
-        now = broken;
+        assertEquals(timeoutAt, watch.dueAt(), "a call must wait until its time-out");
+        now = timeoutAt;
         watch.runDueActions(now);
-        NumberedResult stale = results.poll(30, TimeUnit.SECONDS);
-        assertNull(watch.handleResult(stale.callNumber, stale.result, now), "the result of a call that timed out is ignored");
+        NumberedResult lateResult = results.poll(30, TimeUnit.SECONDS);
+        assertNull(watch.handleResult(lateResult.callNumber, lateResult.result, now),
+                "the result of a call that timed out is ignored");
         connectionPool.release(freedConnections.poll(30, TimeUnit.SECONDS), now);
         connection.close();
         connection = null;
@@ -132,9 +133,9 @@
     void discoveryThatIsDownAtTheStartIsAskedAgainWithinASecond() throws Exception {
         watch.runDueActions(now);
         awaitRequestPath();
-        long began = now;
+        long startedAt = now;
         timeOutCall();
-        assertTrue(now - began <= 1_000_000);
+        assertTrue(now - startedAt <= 1_000_000);
         assertEquals("/catalog/members", awaitRequestPath());
     }
 
@@ -143,19 +144,19 @@
      * still come within the change deadline.
      */
     @Test
-    void aDiscoveryThatGivesNoAnswerIsAskedAgainMoreAndMoreSeldom() throws Exception {
+    void unresponsiveDiscoveryIsCalledLessAndLessOften() throws Exception {
         watch.runDueActions(now);
         awaitRequestPath();
-        long began = now;
-        int calls = 1;
-        for (long last = now; now - began < 12_000_000; calls++) {
+        long startedAt = now;
+        int callCount = 1;
+        for (long previousCallAt = now; now - startedAt < 12_000_000; callCount++) {
             timeOutCall();
             awaitRequestPath();
-            assertTrue(now - last <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS,
-                    "microseconds without a new call: " + (now - last));
-            last = now;
+            assertTrue(now - previousCallAt <= CHANGE_DEADLINE_MICROS - SAFETY_MARGIN_MICROS,
+                    "microseconds without a new call: " + (now - previousCallAt));
+            previousCallAt = now;
         }
-        assertTrue(calls <= 8, calls + " calls in 12 s");
+        assertTrue(callCount <= 8, callCount + " calls in 12 s");
         assertTrue(answer(EMPTY_LIST_JSON));
         assertEquals(now, watch.dueAt(), "the next call starts at once after an answer");
     }
@@ -167,9 +168,9 @@
         assertTrue(answer(EMPTY_LIST_JSON));
         watch.runDueActions(now);
         awaitRequestPath();
-        long began = now;
-        int calls = 1;
-        for (; now - began < 8_000_000; calls++) {
+        long startedAt = now;
+        int callCount = 1;
+        for (; now - startedAt < 8_000_000; callCount++) {
             assertTrue(!answer("503 Full", ""));
             assertTrue(watch.dueAt() - now <= CHANGE_DEADLINE_MICROS - 2 * SAFETY_MARGIN_MICROS,
                     "microseconds of delay: " + (watch.dueAt() - now));
@@ -182,11 +183,11 @@
             assertEquals("/catalog/members?after=7&wait_ms=" + limits.watchWaitMicros() / 1000, awaitRequestPath(),
                     "a retry continues from the known version");
         }
-        assertTrue(calls <= 14, calls + " calls in 8 s");
+        assertTrue(callCount <= 14, callCount + " calls in 8 s");
     }
 
     @Test
-    void anAnswerThatHasComeIsTakenInBeforeItsCallIsGivenUp() throws Exception {
+    void receivedAnswerIsHandledBeforeItsCallTimesOut() throws Exception {
         watch.runDueActions(now);
         awaitRequestPath();
         now = watch.dueAt() + 1_000_000; // the node was delayed, and the answer waits in its queue
@@ -234,9 +235,9 @@
             watch.requestList(now);
             watch.runDueActions(now);
             awaitRequestPath();
-            long began = now;
+            long startedAt = now;
             timeOutCall();
-            assertTrue(now - began <= 1_000_000, "microseconds until the time-out: " + (now - began));
+            assertTrue(now - startedAt <= 1_000_000, "microseconds until the time-out: " + (now - startedAt));
         }
     }
 }
--- a/src/test/java/terndyke/node/journal/JournalTest.java
+++ b/src/test/java/terndyke/node/journal/JournalTest.java
@@ -20,6 +20,7 @@
 import terndyke.api.Ending;
 import terndyke.node.NodeLog;
 
+/** Guards against entries lost or misread after truncation, damage, a full journal or an unfinished compaction. */
 class JournalTest {
     private static final NodeLog LOG = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
     private static final List<JournalEntry> ENTRIES = List.of(
@@ -30,8 +31,8 @@
     @TempDir
     Path folder;
 
-    private Journal openJournal(long most, List<JournalEntry> held) throws IOException {
-        return Journal.open(folder, most, LOG, held);
+    private Journal openJournal(long maxBytes, List<JournalEntry> entries) throws IOException {
+        return Journal.open(folder, maxBytes, LOG, entries);
     }
 
     private Path writeJournal(List<JournalEntry> entries) throws IOException {
@@ -48,71 +49,71 @@
     }
 
     @Test
-    void everyEntryComesBackAsItWas() throws IOException {
+    void everyEntryIsDecodedAsItWasEncoded() throws IOException {
         for (JournalEntry entry : ENTRIES) {
-            JournalEntry back = JournalEntryCodec.decode(JournalEntryCodec.encode(entry));
-            assertArrayEquals(JournalEntryCodec.encode(entry), JournalEntryCodec.encode(back));
+            JournalEntry decoded = JournalEntryCodec.decode(JournalEntryCodec.encode(entry));
+            assertArrayEquals(JournalEntryCodec.encode(entry), JournalEntryCodec.encode(decoded));
             if (!(entry instanceof JournalEntry.RecordAccepted)) {
-                assertEquals(entry, back);
+                assertEquals(entry, decoded);
             }
         }
-        JournalEntry.RecordAccepted back = (JournalEntry.RecordAccepted)
+        JournalEntry.RecordAccepted decoded = (JournalEntry.RecordAccepted)
                 JournalEntryCodec.decode(JournalEntryCodec.encode(ENTRIES.get(0)));
-        assertEquals("id-\u00e9", back.id());
-        assertEquals("mark", back.idempotencyKey());
-        assertArrayEquals(new byte[] {0, -1, 9}, back.body());
+        assertEquals("id-\u00e9", decoded.id());
+        assertEquals("mark", decoded.idempotencyKey());
+        assertArrayEquals(new byte[] {0, -1, 9}, decoded.body());
     }
 
     @Test
     void entryTruncatedAtAnyByteThrowsIOException() {
         for (JournalEntry entry : ENTRIES) {
-            byte[] whole = JournalEntryCodec.encode(entry);
-            for (int length = 0; length < whole.length; length++) {
-                byte[] cut = Arrays.copyOf(whole, length);
-                assertThrows(IOException.class, () -> JournalEntryCodec.decode(cut));
+            byte[] encoded = JournalEntryCodec.encode(entry);
+            for (int length = 0; length < encoded.length; length++) {
+                byte[] truncated = Arrays.copyOf(encoded, length);
+                assertThrows(IOException.class, () -> JournalEntryCodec.decode(truncated));
             }
         }
     }
 
     @Test
     void aJournalCutAtAnyByteKeepsAllWholeEntries() throws IOException {
-        byte[] whole = Files.readAllBytes(writeJournal(ENTRIES));
+        byte[] journalBytes = Files.readAllBytes(writeJournal(ENTRIES));
         int[] ends = new int[ENTRIES.size()];
-        for (int i = 0, at = 0; i < ends.length; i++) {
-            at += Journal.encodedSize(ENTRIES.get(i));
-            ends[i] = at;
+        for (int i = 0, offset = 0; i < ends.length; i++) {
+            offset += Journal.encodedSize(ENTRIES.get(i));
+            ends[i] = offset;
         }
-        for (int length = 0; length <= whole.length; length++) {
-            Files.write(folder.resolve("journal"), Arrays.copyOf(whole, length));
-            List<JournalEntry> held = new ArrayList<>();
-            try (Journal journal = openJournal(1 << 20, held)) {
-                int cut = length;
-                long kept = Arrays.stream(ends).filter(end -> end <= cut).count();
-                assertEquals(kept, held.size());
+        for (int length = 0; length <= journalBytes.length; length++) {
+            Files.write(folder.resolve("journal"), Arrays.copyOf(journalBytes, length));
+            List<JournalEntry> entries = new ArrayList<>();
+            try (Journal journal = openJournal(1 << 20, entries)) {
+                int truncatedLength = length;
+                long intactCount = Arrays.stream(ends).filter(end -> end <= truncatedLength).count();
+                assertEquals(intactCount, entries.size());
                 journal.append(ENTRIES.get(4));
             }
-            List<JournalEntry> again = new ArrayList<>();
-            openJournal(1 << 20, again).close();
-            assertEquals(held.size() + 1, again.size());
+            List<JournalEntry> reopenedEntries = new ArrayList<>();
+            openJournal(1 << 20, reopenedEntries).close();
+            assertEquals(entries.size() + 1, reopenedEntries.size());
         }
     }
 
     @Test
-    void anEntryWithAChangedByteIsPassedOver() throws IOException {
-        byte[] whole = Files.readAllBytes(writeJournal(ENTRIES));
-        int second = Journal.encodedSize(ENTRIES.get(0));
-        whole[second + 20] ^= 1;
-        Files.write(folder.resolve("journal"), whole);
-        List<JournalEntry> held = new ArrayList<>();
-        openJournal(1 << 20, held).close();
-        assertEquals(List.of("RecordAccepted", "ShotEnded", "RecordEnded", "NoticeAnswered"), typeNames(held));
+    void entryWithAChangedByteIsSkippedAndLaterOnesAreRead() throws IOException {
+        byte[] journalBytes = Files.readAllBytes(writeJournal(ENTRIES));
+        int secondEntryOffset = Journal.encodedSize(ENTRIES.get(0));
+        journalBytes[secondEntryOffset + 20] ^= 1;
+        Files.write(folder.resolve("journal"), journalBytes);
+        List<JournalEntry> entries = new ArrayList<>();
+        openJournal(1 << 20, entries).close();
+        assertEquals(List.of("RecordAccepted", "ShotEnded", "RecordEnded", "NoticeAnswered"), typeNames(entries));
     }
 
     @Test
     void aFullJournalTakesAnEntryWholeOrNotAtAll() throws IOException {
-        List<JournalEntry> held = new ArrayList<>();
+        List<JournalEntry> entries = new ArrayList<>();
         int written = 0;
-        try (Journal journal = openJournal(2048, held)) {
+        try (Journal journal = openJournal(2048, entries)) {
             for (boolean full = false; !full; written += full ? 0 : 1) {
                 try {
                     journal.append(ENTRIES.get(0));
@@ -122,22 +123,22 @@
             }
             assertTrue(journal.size() <= 2048);
         }
-        openJournal(2048, held).close();
-        assertEquals(written, held.size());
+        openJournal(2048, entries).close();
+        assertEquals(written, entries.size());
     }
 
     @Test
-    void compactionKeepsWhatItIsGivenAndGoesOn() throws IOException {
-        List<JournalEntry> held = new ArrayList<>();
-        try (Journal journal = openJournal(1 << 20, held)) {
+    void compactionKeepsTheGivenEntriesAndLaterOnesAreAppended() throws IOException {
+        List<JournalEntry> entries = new ArrayList<>();
+        try (Journal journal = openJournal(1 << 20, entries)) {
             for (int i = 0; i < 100; i++) {
                 journal.append(ENTRIES.get(1));
             }
             assertTrue(journal.compact(List.of(ENTRIES.get(0), ENTRIES.get(1))));
             journal.append(ENTRIES.get(2));
         }
-        openJournal(1 << 20, held).close();
-        assertEquals(List.of("RecordAccepted", "ShotFired", "ShotEnded"), typeNames(held));
+        openJournal(1 << 20, entries).close();
+        assertEquals(List.of("RecordAccepted", "ShotFired", "ShotEnded"), typeNames(entries));
         try (var files = Files.list(folder)) {
             assertEquals(1, files.count());
         }
@@ -145,22 +146,22 @@
 
     @Test
     void compactionThatHasNoRoomLeavesTheOldFile() throws IOException {
-        List<JournalEntry> held = new ArrayList<>();
-        try (Journal journal = openJournal(1024, held)) {
+        List<JournalEntry> entries = new ArrayList<>();
+        try (Journal journal = openJournal(1024, entries)) {
             journal.append(ENTRIES.get(0));
             assertFalse(journal.compact(java.util.Collections.nCopies(20, ENTRIES.get(0))));
         }
-        openJournal(1024, held).close();
-        assertEquals(1, held.size());
+        openJournal(1024, entries).close();
+        assertEquals(1, entries.size());
     }
 
     @Test
     void unfinishedCompactionIsDeletedAndTheOldFileIsRead() throws IOException {
         writeJournal(ENTRIES);
         Files.write(folder.resolve("journal.next"), new byte[700]);
-        List<JournalEntry> held = new ArrayList<>();
-        openJournal(1 << 20, held).close();
-        assertEquals(ENTRIES.size(), held.size());
+        List<JournalEntry> entries = new ArrayList<>();
+        openJournal(1 << 20, entries).close();
+        assertEquals(ENTRIES.size(), entries.size());
         assertFalse(Files.exists(folder.resolve("journal.next")));
     }
 }
