--- a/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
+++ b/src/test/java/terndyke/node/discovery/EndpointRegistryTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anEntryIsReadWhole() throws IOException {
+    void everyFieldOfAnEntryIsRead() throws IOException {
         Event.ListReceived list = update(41, true, targetJson("s-1", "127.0.0.9:8443", "active"));
         assertTrue(list.complete());
         assertEquals(List.of(new ListedEndpoint(0, 1, 1, 7.5f, EndpointState.READY, 12_000, 3)), list.entries());
--- a/src/test/java/terndyke/node/journal/JournalTest.java
+++ b/src/test/java/terndyke/node/journal/JournalTest.java
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aFullJournalTakesAnEntryWholeOrNotAtAll() throws IOException {
+    void fullJournalAppendsAnEntryWholeOrNotAtAll() throws IOException {
         List<JournalEntry> entries = new ArrayList<>();
         int written = 0;
         try (Journal journal = openJournal(2048, entries)) {
