--- a/src/main/java/terndyke/lab/run/ExperimentResult.java
+++ b/src/main/java/terndyke/lab/run/ExperimentResult.java
@@ -9,18 +9,22 @@
 import terndyke.lab.referee.ObservedEvent;
 import terndyke.lab.referee.RecordHistory;
 
-/** What a day was: all that its report is made from. A reason in voided makes every figure of it worthless. */
-public record ExperimentResult(Experiment experiment, String build, String voidedBecause, List<Breach> breaches, List<ObservedEvent> events,
-        List<RecordHistory> histories, int offeredCount, int[] handInCounts, Histogram acceptedFromDue, Histogram acceptedFromSent,
-        Histogram toolLateness, List<ResourceSampler.Sample> samples, int receiverCount, double seconds) {
+/**
+ * The result of a run, from which its report is made. If voidedBecause is not null, the run is void for that reason and
+ * none of its figures may be used.
+ */
+public record ExperimentResult(Experiment experiment, String build, String voidedBecause, List<Breach> breaches,
+        List<ObservedEvent> events, List<RecordHistory> histories, int offeredCount, int[] handInCounts,
+        Histogram acceptedFromDue, Histogram acceptedFromSent, Histogram toolLateness, List<ResourceSampler.Sample> samples,
+        int receiverCount, double seconds) {
 
-    /** The same day, worth nothing. */
+    /** The same result, marked void for the given reason. */
     ExperimentResult voidedBecause(String why) {
-        return new ExperimentResult(experiment, build, why, breaches, events, histories, offeredCount, handInCounts, acceptedFromDue, acceptedFromSent,
-                toolLateness, samples, receiverCount, seconds);
+        return new ExperimentResult(experiment, build, why, breaches, events, histories, offeredCount, handInCounts,
+                acceptedFromDue, acceptedFromSent, toolLateness, samples, receiverCount, seconds);
     }
 
-    /** 0 rules kept, 1 a rule broken, 3 void. */
+    /** The exit status: 0 all rules kept, 1 a rule broken, 3 void. */
     public int status() {
         return voidedBecause != null ? 3 : breaches.isEmpty() ? 0 : 1;
     }
--- a/src/main/java/terndyke/lab/run/ExperimentRun.java
+++ b/src/main/java/terndyke/lab/run/ExperimentRun.java
@@ -40,16 +40,16 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * Plays one experiment: starts the receivers and the nodes, lets clients and failures come by the schedule, ends all, and
- * has the referee judge. Every process it starts ends with it, whatever happens.
+ * Runs one experiment: starts the receivers and the nodes, generates the load and the failures as scheduled, stops
+ * everything, and lets the referee judge. Every process it starts is stopped at the end, even if the run fails.
  */
 public final class ExperimentRun {
     private static final long READY_TIMEOUT_MILLIS = 30_000;
-    private static final long OUTAGE_DETECTION_DELAY_MICROS = 500_000; // the front notices a node that is away so late
-    private static final long DEREGISTRATION_DELAY_MILLIS = 300; // the front still sends to a node for so long after its SIGTERM
+    private static final long OUTAGE_DETECTION_DELAY_MICROS = 500_000; // until the clients' front end notices that a node is gone
+    private static final long DEREGISTRATION_DELAY_MILLIS = 300; // the front end still sends to a node this long after SIGTERM
     private static final long TERM_GRACE_PERIOD_MILLIS = 3_700;
     private static final long RESTART_DOWNTIME_MILLIS = 600;
-    private static final long DEADLINE_TOLERANCE_MICROS = 400_000; // the referee's tolerance behind a record's end
+    private static final long DEADLINE_TOLERANCE_MICROS = 400_000; // the referee's tolerance after a record's deadline
     private static final long SAMPLE_INTERVAL_MICROS = 500_000;
 
     private final Experiment experiment;
@@ -61,14 +61,14 @@
     private final List<NodeUnderTest> nodes = new ArrayList<>();
     private final CountDownLatch interruptLatch = new CountDownLatch(1);
     private final Pacer pacer = new Pacer();
-    private final Object[] nodeLocks; // one signal after another for each node
+    private final Object[] nodeLocks; // serialize the failures of each node
     private EmulatedClients clients;
     private volatile boolean stopping;
     private int activeFailureCount;
 
     /**
-     * @param jar what to run as a node; null is the program of this laboratory
-     * @param standIn a stand-in in the nodes' place with that fault; null is the real node
+     * @param jar the jar to run as a node; null for the program that this laboratory belongs to
+     * @param standIn the fault of the stand-ins that replace the nodes; null for real nodes
      */
     public ExperimentRun(Experiment day, Path folder, String jar, StandInNode.Fault standIn, PrintStream progress) {
         this.experiment = day;
@@ -80,12 +80,13 @@
         java.util.Arrays.setAll(nodeLocks, i -> new Object());
     }
 
-    /** Ends the day early, from any thread; play returns as soon as all is stopped. */
+    /** Stops the run early; may be called from any thread. {@link #execute()} returns once everything has stopped. */
     public void interrupt() {
         interruptLatch.countDown();
         pacer.stop();
     }
 
+    /** Performs the run and returns its result, judged by the referee. */
     public ExperimentResult execute() throws IOException, UserInputException, InterruptedException {
         List<Arrival> arrivals = createArrivals();
         Files.createDirectories(folder);
@@ -97,7 +98,7 @@
                 Emulator emulator = new Emulator(experiment, eventLog, receiving, ticker, true)) {
             FileTime built = nodeProgramModifiedTime();
             ExperimentResult outcome = execute(arrivals, clientTicker, failureTicker, receiving, calling, emulator);
-            if (!Objects.equals(built, nodeProgramModifiedTime())) { // a JVM whose jar is replaced under it fails in any way
+            if (!Objects.equals(built, nodeProgramModifiedTime())) { // a JVM fails unpredictably if its jar is replaced
                 return outcome.voidedBecause("the node's program was replaced while the day was played");
             }
             for (TaskScheduler each : List.of(ticker, clientTicker, failureTicker)) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /** When the program of the nodes was built; null where it is no jar. */
+    /** When the nodes' jar was last modified; null if they do not run from a jar. */
     private FileTime nodeProgramModifiedTime() throws IOException {
         String file = nodeJar != null ? nodeJar : System.getProperty("terndyke.jar");
         return file == null || standInFault != null ? null : Files.getLastModifiedTime(Path.of(file));
@@ -126,15 +127,15 @@
         int offered = arrivals.size();
         arrivals.removeIf(arrival -> arrival.due() >= experiment.length().micros());
         if (arrivals.isEmpty() && offered > 0) {
-            throw new UserInputException("the trace holds nothing within " + experiment.length());
+            throw new UserInputException("the trace has no record due within the length of " + experiment.length());
         }
         return arrivals;
     }
 
     private record ScheduledArrival(Arrival arrival, boolean extra) { }
 
-    private ExperimentResult execute(List<Arrival> arrivals, TaskScheduler clientTicker, TaskScheduler failureTicker, SocketReactor receiving, SocketReactor calling,
-            Emulator emulator) throws IOException, InterruptedException {
+    private ExperimentResult execute(List<Arrival> arrivals, TaskScheduler clientTicker, TaskScheduler failureTicker,
+            SocketReactor receiving, SocketReactor calling, Emulator emulator) throws IOException, InterruptedException {
         long began = TaskScheduler.nowMicros();
         progress.printf("%s, seed %d: %d nodes, %d receivers, %d records in %s%n", experiment.name(), experiment.seed(),
                 experiment.nodes().count(), emulator.receiverCount(), arrivals.size(), experiment.length());
@@ -156,7 +157,8 @@
         if (voided == null) {
             eventLog.setStartMicros(TaskScheduler.nowMicros() + 200_000);
             long start = eventLog.startMicros();
-            MisbehavingClients intruders = new MisbehavingClients(calling, clientTicker, addresses, experiment.grades().get(0).name(), experiment.seed());
+            MisbehavingClients intruders = new MisbehavingClients(calling, clientTicker, addresses,
+                    experiment.grades().get(0).name(), experiment.seed());
             List<ScheduledArrival> items = createScheduledArrivals(arrivals);
             experiment.failures().stream().filter(failure -> failure.at().compareTo(experiment.length()) < 0)
                     .forEach(failure -> scheduleFailure(failure, start, failureTicker, emulator, intruders));
@@ -179,12 +181,13 @@
         Referee referee = new Referee(RuleParameters.of(experiment), TaskScheduler.nowMicros() - eventLog.startMicros());
         List<Breach> breaches = voided != null && clients.handInCounts()[0] == 0 ? List.of() : referee.judge(sights);
         if ("interrupted".equals(voided)) {
-            breaches = breaches.stream().filter(breach -> breach.rule() != 1).toList(); // ends that could not come any more
+            breaches = breaches.stream().filter(breach -> breach.rule() != 1).toList(); // their records could not end any more
         }
-        progress.printf("over after %.1f s%n", (TaskScheduler.nowMicros() - began) / 1e6);
-        return new ExperimentResult(experiment, standInFault != null ? "stand-in " + standInFault : nodeJar == null ? "this build" : nodeJar, voided, breaches,
-                sights, List.copyOf(referee.histories()), arrivals.size(), clients.handInCounts(), clients.latencyFromDue(),
-                clients.latencyFromSent(), pacer.lateness(), sampler.samples(), emulator.receiverCount(), seconds);
+        progress.printf("finished after %.1f s%n", (TaskScheduler.nowMicros() - began) / 1e6);
+        return new ExperimentResult(experiment, standInFault != null ? "stand-in " + standInFault
+                : nodeJar == null ? "this build" : nodeJar, voided, breaches, sights, List.copyOf(referee.histories()),
+                arrivals.size(), clients.handInCounts(), clients.latencyFromDue(), clients.latencyFromSent(), pacer.lateness(),
+                sampler.samples(), emulator.receiverCount(), seconds);
     }
 
     private final class SamplingTask implements Runnable {
@@ -208,8 +211,8 @@
             sampleCount++;
             if (sampleCount % 6 == 0) {
                 int[] doors = clients.handInCounts();
-                progress.printf("%6.1f s  %d handed in, %d taken, %d under way%n", (TaskScheduler.nowMicros() - startMicros) / 1e6, doors[0],
-                        doors[1], clients.openRecordCount());
+                progress.printf("%6.1f s  %d handed in, %d accepted, %d in progress%n",
+                        (TaskScheduler.nowMicros() - startMicros) / 1e6, doors[0], doors[1], clients.openRecordCount());
             }
             scheduler.schedule(startMicros + sampleCount * SAMPLE_INTERVAL_MICROS, this);
         }
@@ -218,12 +221,12 @@
     private List<ScheduledArrival> createScheduledArrivals(List<Arrival> arrivals) {
         List<ScheduledArrival> items = new ArrayList<>();
         arrivals.forEach(arrival -> items.add(new ScheduledArrival(arrival, false)));
-        String grade = experiment.grades().stream().filter(one -> one.effect() == RepeatSemantics.IDEMPOTENT && !one.inOrder()).findFirst()
-                .orElse(experiment.grades().get(0)).name();
+        String grade = experiment.grades().stream().filter(one -> one.effect() == RepeatSemantics.IDEMPOTENT && !one.inOrder())
+                .findFirst().orElse(experiment.grades().get(0)).name();
         for (Failure failure : experiment.failures()) {
             if (failure.kind() == Kind.FLOOD) {
-                MisbehavingClients.floodArrivals(failure, grade, experiment.tenants().get(0).name(), experiment.destinationCount()).stream()
-                        .filter(arrival -> arrival.due() < experiment.length().micros())
+                MisbehavingClients.floodArrivals(failure, grade, experiment.tenants().get(0).name(),
+                        experiment.destinationCount()).stream().filter(arrival -> arrival.due() < experiment.length().micros())
                         .forEach(arrival -> items.add(new ScheduledArrival(arrival, true)));
             }
         }
@@ -236,15 +239,16 @@
             int number = node;
             DiscoveryAgent agent = emulator.agents().get(node);
             if (standInFault != null) {
-                nodes.add(new StandInNode(SocketReactor.findFreeAddress("127.0.0.1"), net, NodeConfigurationWriter.toJson(experiment, node, experiment.seed(),
-                        new InetSocketAddress("127.0.0.1", 1), agent.address(), agent.fullListJson()), standInFault));
+                nodes.add(new StandInNode(SocketReactor.findFreeAddress("127.0.0.1"), net,
+                        NodeConfigurationWriter.toJson(experiment, node, experiment.seed(),
+                                new InetSocketAddress("127.0.0.1", 1), agent.address(), agent.fullListJson()), standInFault));
             } else {
                 Path own = folder.resolve("n" + node);
                 Files.createDirectories(own);
                 InetSocketAddress listen = SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3");
                 nodes.add(new NodeProcess(own, listen, NodeProcess.chooseLaunchArguments(nodeJar),
-                        () -> NodeConfigurationWriter.toJson(experiment, number, experiment.seed() * 1000 + number, listen, agent.address(), agent.fullListJson()),
-                        experiment.nodes().diskMb()));
+                        () -> NodeConfigurationWriter.toJson(experiment, number, experiment.seed() * 1000 + number, listen,
+                                agent.address(), agent.fullListJson()), experiment.nodes().diskMb()));
             }
             logEvent(EventType.NODE_STARTS, node, null);
             nodes.get(node).start();
@@ -267,7 +271,8 @@
         activeFailureCount += change;
     }
 
-    private void scheduleFailure(Failure failure, long start, TaskScheduler ticker, Emulator emulator, MisbehavingClients intruders) {
+    private void scheduleFailure(Failure failure, long start, TaskScheduler ticker, Emulator emulator,
+            MisbehavingClients intruders) {
         changeActiveFailureCount(1);
         ticker.schedule(start + failure.at().micros(), () -> {
             progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(), failure.lasts());
@@ -321,7 +326,7 @@
                         logEvent(EventType.NODE_TERM, node, null);
                         subject.sendSignal("TERM");
                         boolean ended = subject.awaitExit(DEREGISTRATION_DELAY_MILLIS);
-                        clients.setNodeUnavailable(node, true); // a planned restart is told to the front
+                        clients.setNodeUnavailable(node, true); // the front end is notified of a planned restart
                         if (!ended && !subject.awaitExit(TERM_GRACE_PERIOD_MILLIS - DEREGISTRATION_DELAY_MILLIS)) {
                             logEvent(EventType.NODE_KILLED, node, "did not end after SIGTERM");
                             subject.sendSignal("KILL");
@@ -365,7 +370,7 @@
         }
     }
 
-    /** Starts a node again after its death, and tells the front late of both. */
+    /** Restarts a node after its process has exited; the clients' front end notices the outage only after a delay. */
     private void restartNode(int node, long downMillis) throws IOException, InterruptedException {
         NodeUnderTest subject = nodes.get(node);
         logEvent(EventType.NODE_ENDED, node, null);
@@ -385,12 +390,13 @@
         }
     }
 
-    /** Waits until every record has its end, or until the last one's time is over. */
+    /** Waits until every record has ended, or until the last deadline has passed. */
     private void awaitRecordsEnded(long start) throws InterruptedException {
         long longest = experiment.grades().stream().mapToLong(grade -> grade.abandon().micros()).max().orElse(0);
         long last = start + experiment.length().micros() + longest + DEADLINE_TOLERANCE_MICROS + experiment.settle().micros();
         while (TaskScheduler.nowMicros() < last && interruptLatch.getCount() > 0) {
-            if (TaskScheduler.nowMicros() > start + experiment.length().micros() && clients.openRecordCount() == 0 && hasNoActiveFailure() && eventLog.hasNoPendingRecords()) {
+            if (TaskScheduler.nowMicros() > start + experiment.length().micros() && clients.openRecordCount() == 0
+                    && hasNoActiveFailure() && eventLog.hasNoPendingRecords()) {
                 interruptLatch.await(experiment.settle().micros(), TimeUnit.MICROSECONDS);
                 return;
             }
@@ -420,7 +426,7 @@
         }
     }
 
-    /** Whether the last word on a node is that it was ended by the day. */
+    /** Whether, by its last event, the node is stopped because the run stopped it. */
     private boolean wasStoppedByRun(int node) {
         boolean away = false;
         for (ObservedEvent sight : eventLog.sortedEvents()) {
--- a/src/main/java/terndyke/lab/run/NodeConfigurationWriter.java
+++ b/src/main/java/terndyke/lab/run/NodeConfigurationWriter.java
@@ -15,15 +15,16 @@
 import terndyke.lab.plan.Experiment.Tenant;
 import terndyke.lab.wire.SocketReactor;
 
-/** Writes a node's configuration in the platform's form: what an experiment says, in the words that a node reads. */
+/** Converts an experiment to the configuration file of a node, in the platform's format. */
 public final class NodeConfigurationWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private NodeConfigurationWriter() { }
 
-    /** For a node that somebody else starts beside an emulator. */
+    /** The configuration of a node that the user starts next to an emulator; its listen address is a free one. */
     public static String toJson(Experiment day, int node, DiscoveryAgent agent) throws IOException {
-        return toJson(day, node, day.seed() * 1000 + node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3"), agent.address(), agent.fullListJson());
+        return toJson(day, node, day.seed() * 1000 + node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3"),
+                agent.address(), agent.fullListJson());
     }
 
     static String toJson(Experiment day, int node, long seed, InetSocketAddress listen, InetSocketAddress agent, String known) {
--- a/src/main/java/terndyke/lab/run/NodeProcess.java
+++ b/src/main/java/terndyke/lab/run/NodeProcess.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** A real node in a process of its own, started as the deployment starts it. */
+/** A real node in its own process, started with the same command line as in the deployment. */
 public final class NodeProcess implements NodeUnderTest {
     private static final List<String> JVM_FLAGS = List.of("-Xshare:auto", "-XX:+UseSerialGC", "-Xms36m", "-Xmx36m", "-Xmn10m",
             "-XX:+AlwaysPreTouch", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m",
@@ -30,8 +30,8 @@
     private Process process;
 
     /**
-     * @param program what stands behind java's flags: a jar or a class path and a class
-     * @param file the configuration, made anew for each start
+     * @param program the arguments after the JVM flags: a jar, or a class path and a class
+     * @param file supplies the content of the configuration file, which is written again for each start
      */
     NodeProcess(Path folder, InetSocketAddress listen, List<String> program, Supplier<String> file, double diskMb)
             throws IOException {
@@ -42,7 +42,7 @@
         this.diskLimitMb = diskMb;
         stateFolder = folder.resolve("state");
         Files.createDirectories(stateFolder);
-        Files.deleteIfExists(folder.resolve("log")); // of an earlier day in the same folder, like its journal
+        Files.deleteIfExists(folder.resolve("log")); // the log and the journal of an earlier run in the same folder
         try (Stream<Path> files = Files.list(stateFolder)) {
             for (Path old : files.filter(Files::isRegularFile).toList()) {
                 Files.delete(old);
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Whether it never hears SIGHUP: what a process ignores its children ignore too, so a node below nohup cannot be told
-     * to read its configuration again.
+     * Whether the process ignores SIGHUP. Ignored signals are inherited by child processes, so a node started under nohup
+     * cannot be made to read its configuration again.
      */
     boolean ignoresHangup() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid() + "/status"))) {
@@ -63,7 +63,7 @@
         return false;
     }
 
-    /** What to start: that jar, or else the program that this laboratory belongs to. */
+    /** The arguments that start the given jar, or the program that this laboratory belongs to if it is null. */
     static List<String> chooseLaunchArguments(String jar) {
         if (jar != null) {
             return List.of("-jar", jar);
@@ -77,7 +77,7 @@
         return listenAddress;
     }
 
-    /** The new file takes the old one's place in one step, so that no reader sees half of it. */
+    /** Replaces the configuration file atomically, so that the node never reads a partly written file. */
     @Override
     public void writeConfiguration() throws IOException {
         Path next = folder.resolve("config.next");
@@ -139,7 +139,7 @@
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("no signal can be sent: " + e.getMessage(), e);
+            throw new IllegalStateException("cannot send a signal to the node process: " + e.getMessage(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -160,12 +160,11 @@
         return process == null ? 0 : process.pid();
     }
 
-    /** What the process ended with. */
     int exitStatus() {
         return process.exitValue();
     }
 
-    /** The last lines of its log, for people. */
+    /** The last three lines of the process log, for messages. */
     String lastLogLines() {
         try {
             List<String> lines = Files.readAllLines(folder.resolve("log"), StandardCharsets.ISO_8859_1);
--- a/src/main/java/terndyke/lab/run/NodeUnderTest.java
+++ b/src/main/java/terndyke/lab/run/NodeUnderTest.java
@@ -3,32 +3,32 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** A node under test: a process of its own, or a stand-in. Signals that it does not know do nothing. */
+/** A node under test: a separate process or a stand-in. Signals that it does not support have no effect. */
 public interface NodeUnderTest {
     InetSocketAddress listenAddress();
 
     void start() throws IOException;
 
-    /** Waits until it serves; false where it does not in time. */
+    /** Waits until the node serves requests; false if it does not within the given time. */
     boolean awaitReady(long patienceMillis) throws InterruptedException;
 
-    /** A signal by its short name, such as TERM. */
+    /** Sends a signal, given by its short name such as TERM. */
     void sendSignal(String name);
 
-    /** Waits for its end; false where it still runs. */
+    /** Waits until the node has exited; false if it is still running after the given time. */
     boolean awaitExit(long patienceMillis) throws InterruptedException;
 
     boolean isRunning();
 
-    /** The process to measure; 0 where there is none. */
+    /** The id of the process to measure; 0 if there is none. */
     long pid();
 
-    /** Writes its configuration anew, as it stands now. */
+    /** Writes the node's configuration file again with the current settings. */
     void writeConfiguration() throws IOException;
 
-    /** Fills its folder up to the limit, or frees it again. */
+    /** Fills the node's state folder up to its disk limit, or frees the space again. */
     void setDiskFull(boolean full) throws IOException;
 
-    /** Ends it at once. */
+    /** Kills the node. */
     void destroy();
 }
--- a/src/main/java/terndyke/lab/run/ResourceSampler.java
+++ b/src/main/java/terndyke/lab/run/ResourceSampler.java
@@ -10,12 +10,16 @@
 import terndyke.lab.emulate.Emulator;
 import terndyke.lab.wire.TaskScheduler;
 
-/** Measures the nodes' processes and the receivers' load at steady times, from outside. */
+/** Samples the resource use of the node processes from /proc, and the load of the receivers. */
 public final class ResourceSampler {
-    /** One look: seconds since the start; per node memory (MB), share of a core, descriptors; per destination in hand. */
-    public record Sample(double atSeconds, double[] memoryMb, double[] cores, int[] fileDescriptors, int[] callsInProgress, int[] connections) { }
+    /**
+     * One sample: seconds since the start of the run; for each node its memory in MB, CPU use in cores and number of open
+     * file descriptors; for each destination its calls in progress and its connections.
+     */
+    public record Sample(double atSeconds, double[] memoryMb, double[] cores, int[] fileDescriptors, int[] callsInProgress,
+            int[] connections) { }
 
-    private static final double CLOCK_TICKS_PER_SECOND = 100; // of /proc, a second
+    private static final double CLOCK_TICKS_PER_SECOND = 100; // the unit of CPU times in /proc
     private final List<NodeUnderTest> nodes;
     private final Emulator emulator;
     private final List<Sample> samples = new ArrayList<>();
@@ -55,7 +59,7 @@
                     descriptors[i] = (int) open.count();
                 }
             } catch (IOException | RuntimeException e) {
-                lastPids[i] = 0; // it has just ended
+                lastPids[i] = 0; // the process has just exited
             }
         }
         lastSampleAtMicros = now;
