--- a/src/main/java/terndyke/lab/Lab.java
+++ b/src/main/java/terndyke/lab/Lab.java
@@ -50,7 +50,7 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** The laboratory's command line. Exit status: 0 rules kept, 1 a rule broken, 2 bad input, 3 void. */
+/** The laboratory's command line. Exit status: 0 all rules kept, 1 a rule broken, 2 invalid input, 3 void run. */
 public final class Lab {
     private static final int EXIT_RULES_KEPT = 0;
     private static final int EXIT_BAD_INPUT = 2;
@@ -68,26 +68,26 @@
         this.err = err;
     }
 
-    /** What commands that play a day share. */
+    /** The options shared by the commands that read or run an experiment. */
     private static class ExperimentOptions {
         @Parameter(description = "FILE")
         List<String> arguments = new ArrayList<>();
-        @Parameter(names = "--out", description = "the folder for what the run leaves")
+        @Parameter(names = "--out", description = "the folder for the results")
         private String outputFolder;
-        @Parameter(names = "--nodes", description = "another number of nodes")
+        @Parameter(names = "--nodes", description = "overrides the number of nodes")
         private Integer nodeCount;
-        @Parameter(names = "--length", description = "another length of the day, such as 30s")
+        @Parameter(names = "--length", description = "overrides the length of the run, such as 30s")
         private String length;
-        @Parameter(names = "--jar", description = "the node's program; else this one")
+        @Parameter(names = "--jar", description = "the jar to run as a node; default: this program")
         private String nodeJar;
-        @Parameter(names = "--set", description = "a field set otherwise, such as nodes.slots=12; as often as needed")
+        @Parameter(names = "--set", description = "overrides a field, such as nodes.slots=12; may be repeated")
         private List<String> overrides = new ArrayList<>();
-        @Parameter(names = "--stand-in", description = "a plain stand-in instead of the node, with this fault or none")
+        @Parameter(names = "--stand-in", description = "a simple stand-in instead of the node, with the given fault or NONE")
         private StandInNode.Fault standInFault;
 
         String experimentFile() throws UserInputException {
             if (arguments.size() != 1) {
-                throw new UserInputException("one experiment file is needed, " + arguments.size() + " are given");
+                throw new UserInputException("expected one experiment file, found " + arguments.size());
             }
             return arguments.get(0);
         }
@@ -99,7 +99,7 @@
             for (String one : all) {
                 int equals = one.indexOf('=');
                 if (equals < 1) {
-                    throw new UserInputException("--set " + one + ": a field and its value are needed, such as nodes.slots=12");
+                    throw new UserInputException("--set " + one + ": expected a field and its value, such as nodes.slots=12");
                 }
                 other.put(one.substring(0, equals), one.substring(equals + 1));
             }
@@ -121,109 +121,110 @@
         }
     }
 
-    @Parameters(commandDescription = "play an experiment and report on it")
+    @Parameters(commandDescription = "run an experiment and write a report")
     private static final class RunOptions extends ExperimentOptions {
-        @Parameter(names = "--seed", description = "another seed than the file's")
+        @Parameter(names = "--seed", description = "overrides the seed")
         private Long seed;
-        @Parameter(names = "--record", description = "write the schedule as a trace; .zst compresses it")
+        @Parameter(names = "--record", description = "write the schedule to this trace file, compressed if its name ends in .zst")
         private String traceFile;
     }
 
-    @Parameters(commandDescription = "send a schedule to an address, open loop")
+    @Parameters(commandDescription = "send scheduled requests to an address, open loop")
     private static final class LoadOptions {
         @Parameter(names = "--to", description = "HOST:PORT, loopback only", required = true)
         private String targetAddress;
-        @Parameter(names = "--rate", description = "requests a second")
+        @Parameter(names = "--rate", description = "requests per second")
         private double rate = 1_000;
-        @Parameter(names = "--peak", description = "the highest rate of a ramp, surge or wave; else the rate")
+        @Parameter(names = "--peak", description = "the highest rate of a ramp, surge or wave; default: the rate")
         private Double peakRate;
         @Parameter(names = "--shape", description = "constant, poisson, ramp, surge, wave or clumps")
         private String shape = "constant";
-        @Parameter(names = "--for", description = "how long")
+        @Parameter(names = "--for", description = "the length of the run")
         private String length = "10s";
-        @Parameter(names = "--connections", description = "the most connections")
+        @Parameter(names = "--connections", description = "the maximum number of connections")
         private int maxConnections = 256;
-        @Parameter(names = "--bytes", description = "size of a body")
+        @Parameter(names = "--bytes", description = "the size of a request body")
         private int bodyBytes = 200;
-        @Parameter(names = "--grade", description = "the first part of the path")
+        @Parameter(names = "--grade", description = "the service grade, the first part of the path")
         private String grade = "notice";
         @Parameter(names = "--tenant", description = "the tenant")
         private String tenant = "acme";
-        @Parameter(names = "--destinations", description = "numbers of destinations, from 0")
+        @Parameter(names = "--destinations", description = "the number of destinations, numbered from 0")
         private int destinationCount = 1;
-        @Parameter(names = "--late", description = "the run is void where one in a hundred requests is later than this")
+        @Parameter(names = "--late", description = "the run is void if the p99 of the tool's lateness exceeds this")
         private String maxLateness = "20ms";
-        @Parameter(names = "--seed", description = "what the schedule is drawn from")
+        @Parameter(names = "--seed", description = "the seed of the schedule")
         private long seed = 1;
-        @Parameter(names = "--trace", description = "replay this trace instead")
+        @Parameter(names = "--trace", description = "replay this trace instead of generating a schedule")
         private String traceFile;
     }
 
-    @Parameters(commandDescription = "serve an experiment's receivers and discovery until interrupted, for nodes of your own")
+    @Parameters(commandDescription = "serve an experiment's receivers and discovery until interrupted, for nodes that you start")
     private static final class EmulateOptions extends ExperimentOptions { }
 
-    @Parameters(commandDescription = "draw random days on an experiment; with --play, play them until one fails")
+    @Parameters(commandDescription = "generate experiments with random failures; with --play, run them until one fails")
     private static final class DrawOptions extends ExperimentOptions {
         @Parameter(names = "--seeds", description = "seeds, such as 1-20 or 3,5")
         private String seeds = "1";
-        @Parameter(names = "--play", description = "play each; one that breaks a rule is cut down")
+        @Parameter(names = "--play", description = "run each; the first that breaks a rule is shrunk")
         private boolean runEach;
     }
 
-    @Parameters(commandDescription = "cut an experiment that fails down to the shortest that still does")
+    @Parameters(commandDescription = "reduce an experiment that breaks a rule to a minimal one that still does")
     private static final class ShrinkOptions extends ExperimentOptions {
-        @Parameter(names = "--tries", description = "how often a day has to fail in a row")
+        @Parameter(names = "--tries", description = "the number of consecutive runs that must fail")
         private int tries = 1;
     }
 
-    @Parameters(commandDescription = "two builds, settings or folders of runs on the same seeds: is the difference noise?")
+    @Parameters(commandDescription = "compare two builds, experiments or folders of runs on the same seeds for significance")
     private static final class CompareOptions extends ExperimentOptions {
-        @Parameter(names = "--experiment", description = "the experiment, where A and B are jars")
+        @Parameter(names = "--experiment", description = "the experiment, if A and B are jars")
         private String experimentFile;
         @Parameter(names = "--seeds", description = "seeds, such as 1-5")
         private String seeds = "1-5";
     }
 
-    @Parameters(commandDescription = "vary a field over seeds and plot what comes of it")
+    @Parameters(commandDescription = "run an experiment with several values of a field and plot the results")
     private static final class SweepOptions extends ExperimentOptions {
         @Parameter(names = "--field", description = "the field, such as load.rate", required = true)
         private String field;
-        @Parameter(names = "--values", description = "its values, separated by commas", required = true)
+        @Parameter(names = "--values", description = "its values, comma-separated", required = true)
         private String values;
         @Parameter(names = "--seeds", description = "seeds, such as 1-3")
         private String seeds = "1-3";
-        @Parameter(names = "--figure", description = "the figures of a summary to plot, such as goodput,latencyMs.deliveredFromDue.p99")
+        @Parameter(names = "--figure",
+                description = "the figures of a summary to plot, such as goodput,latencyMs.deliveredFromDue.p99")
         private String metrics = "goodput,messages.doneInTarget";
     }
 
-    @Parameters(commandDescription = "list the experiments of a folder")
+    @Parameters(commandDescription = "list the experiments in a folder")
     private static final class ListOptions {
         @Parameter(names = "--dir", description = "the folder")
         private String folder = "lab/experiments";
     }
 
-    @Parameters(commandDescription = "add up what the nodes of a fleet traced (serve --trace), by step of time")
+    @Parameters(commandDescription = "print statistics per time step from the traces of a fleet's nodes (serve --trace)")
     private static final class FleetOptions {
         @Parameter(description = "LOGS", required = true)
         private List<String> logs = new ArrayList<>();
-        @Parameter(names = "--step", description = "the length of a step")
+        @Parameter(names = "--step", description = "the length of a time step")
         private String step = "1s";
-        @Parameter(names = "--destinations", description = "how many destinations get a table of their own, the busiest first")
+        @Parameter(names = "--destinations", description = "the number of destinations with their own table, the busiest first")
         private int maxDestinationTables = 3;
-        @Parameter(names = "--record", description = "instead, all that befell the record with this id, through every node")
+        @Parameter(names = "--record", description = "print instead the traced lines of the record with this id, from all nodes")
         private String recordId;
     }
 
-    @Parameters(commandDescription = "check the load tool on this machine against stand-ins with known delays")
+    @Parameters(commandDescription = "check the load tool's accuracy on this machine against stand-ins with known delays")
     private static final class ProveOptions { }
 
-    @Parameters(commandDescription = "print the schema of experiment files")
+    @Parameters(commandDescription = "print the JSON schema of experiment files")
     private static final class SchemaOptions { }
 
-    @Parameters(commandDescription = "show this text")
+    @Parameters(commandDescription = "show this help")
     private static final class HelpOptions { }
 
-    /** Runs one command, on the streams of the process. No node outlives it, however it ends. */
+    /** Runs one command and returns the exit status. A shutdown hook kills all nodes, however the command ends. */
     public static int run(String[] arguments) {
         Lab lab = new Lab(System.out, System.err);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> ProcessHandle.current().descendants()
@@ -232,12 +233,12 @@
             SignalHandlers.register("INT", lab::interrupt);
             SignalHandlers.register("TERM", lab::interrupt);
         } catch (IOException e) {
-            System.err.println("terndyke lab: " + e.getMessage() + "; an interrupt leaves no report");
+            System.err.println("terndyke lab: " + e.getMessage() + "; no report will be written after an interrupt");
         }
         return lab.runCommand(arguments);
     }
 
-    /** On SIGINT or SIGTERM: the day ends and its report is written; the second one ends all at once. */
+    /** Handles SIGINT and SIGTERM: the first stops the run and lets its report be written, the second exits immediately. */
     private void interrupt() {
         ExperimentRun day = currentRun;
         if (interrupted || day == null && !emulating) {
@@ -320,8 +321,8 @@
 
     private record CompletedRun(int status, JsonNode summary) { }
 
-    private CompletedRun runExperiment(ExperimentOptions how, Experiment day, Path folder, PrintStream progress) throws IOException, UserInputException,
-            InterruptedException {
+    private CompletedRun runExperiment(ExperimentOptions how, Experiment day, Path folder, PrintStream progress)
+            throws IOException, UserInputException, InterruptedException {
         ExperimentRun one = new ExperimentRun(day, folder, how.nodeJar, how.standInFault, progress);
         currentRun = one;
         if (interrupted) {
@@ -349,9 +350,9 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | RuntimeException e) {
-            throw new UserInputException("--to " + text + ": HOST:PORT is needed");
+            throw new UserInputException("--to " + text + ": expected HOST:PORT");
         }
-        throw new UserInputException("--to " + text + ": only loopback addresses are loaded");
+        throw new UserInputException("--to " + text + ": only loopback addresses are allowed");
     }
 
     private int load(LoadOptions load) throws UserInputException, InterruptedException {
@@ -364,20 +365,22 @@
                     load.seed, load.length, load.grade, load.tenant, load.destinationCount, load.shape, load.rate,
                     load.peakRate == null ? load.rate : load.peakRate, load.bodyBytes, load.maxLateness));
         } catch (UserInputException e) {
-            throw new UserInputException(e.errors().stream().map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
+            throw new UserInputException(e.errors().stream()
+                    .map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
         }
-        List<Arrival> arrivals = load.traceFile == null ? ScheduleGenerator.generate(day) : TraceFile.read(Path.of(load.traceFile), day);
+        List<Arrival> arrivals = load.traceFile == null ? ScheduleGenerator.generate(day)
+                : TraceFile.read(Path.of(load.traceFile), day);
         try (SocketReactor net = new SocketReactor("terndyke-lab-load", 1)) {
             LoadGenerator tool = new LoadGenerator(net, to, load.maxConnections);
             tool.openConnections(load.maxConnections);
             LoadGenerator.Result run = tool.run(arrivals, 5_000_000);
-            out.printf("%d requests in %.1f s: %d answered, %d of them taken, %d broken, %d without an answer%n", run.offered(),
-                    run.seconds(), run.answered(), run.accepted(), run.broken(), run.unanswered());
+            out.printf("%d requests in %.1f s: %d answered, %d of them accepted, %d with a broken connection, %d unanswered%n",
+                    run.offered(), run.seconds(), run.answered(), run.accepted(), run.broken(), run.unanswered());
             printPercentiles("from due", run.latencyFromDue());
             printPercentiles("from sent", run.latencyFromSent());
-            printPercentiles("the tool's lateness", run.lateness());
+            printPercentiles("lateness of the load tool", run.lateness());
             if (run.lateness().getValueAtPercentile(99) > day.late().micros()) {
-                out.printf("void: the tool itself was late, %s allowed%n", day.late());
+                out.printf("void: the load tool was late, %s allowed at p99%n", day.late());
                 return EXIT_VOID;
             }
             return EXIT_RULES_KEPT;
@@ -396,7 +399,8 @@
         Path folder = emulate.resolveOutputFolder(day.name() + "-emulated");
         EventLog logbook = new EventLog();
         logbook.setStartMicros(TaskScheduler.nowMicros());
-        try (TaskScheduler answers = new TaskScheduler("terndyke-lab-answers"); TaskScheduler failures = new TaskScheduler("terndyke-lab-failures");
+        try (TaskScheduler answers = new TaskScheduler("terndyke-lab-answers");
+                TaskScheduler failures = new TaskScheduler("terndyke-lab-failures");
                 SocketReactor net = new SocketReactor("terndyke-lab-receivers", 4);
                 Emulator emulator = new Emulator(day, logbook, net, answers, true)) {
             Files.createDirectories(folder);
@@ -405,7 +409,7 @@
                 Files.writeString(file, NodeConfigurationWriter.toJson(day, node, emulator.agents().get(node)));
                 out.println("node " + node + ": serve --config " + file);
             }
-            out.println(emulator.receiverCount() + " receivers serve; failures count from now, an interrupt ends it");
+            out.println(emulator.receiverCount() + " receivers are serving; failures are timed from now, interrupt to stop");
             day.failures().forEach(failure -> {
                 if (failure.kind().targetType() == Failure.TargetType.RECEIVER
                         || failure.kind().targetType() == Failure.TargetType.DISCOVERY) {
@@ -454,13 +458,13 @@
                 && runExperiment(how, one, folder.resolve("try"), quiet).status == 1, tries, out::println);
         Experiment least = shrinker.shrink(day);
         if (least == null) {
-            out.println("no rule is broken, so there is nothing to cut down");
+            out.println("no rule was broken, nothing to shrink");
             return interrupted ? EXIT_VOID : EXIT_RULES_KEPT;
         }
         Path file = folder.resolve(day.name() + "-least.yaml");
         Files.writeString(file, ExperimentFile.toYaml(least));
-        out.printf("%d of %d failures, %s instead of %s, after %d days: %s%n", least.failures().size(), day.failures().size(),
-                least.length(), day.length(), shrinker.runCount(), file);
+        out.printf("%d of %d failures, length %s instead of %s, after %d runs: %s%n", least.failures().size(),
+                day.failures().size(), least.length(), day.length(), shrinker.runCount(), file);
         return 1;
     }
 
@@ -478,10 +482,10 @@
         }
         boolean jar = side.endsWith(".jar");
         if (jar && experiment == null) {
-            throw new UserInputException("two builds are compared on an experiment: --experiment FILE is needed");
+            throw new UserInputException("--experiment FILE is required to compare two builds");
         }
         if (jar && !Files.exists(Path.of(side))) {
-            throw new UserInputException(side + ": there is no such program");
+            throw new UserInputException(side + ": no such file");
         }
         String before = how.nodeJar;
         how.nodeJar = jar ? side : before;
@@ -499,20 +503,22 @@
 
     private int compare(CompareOptions compare) throws IOException, UserInputException, InterruptedException {
         if (compare.arguments.size() != 2) {
-            throw new UserInputException("two sides are needed: jars, experiment files or folders of runs");
+            throw new UserInputException("expected two arguments to compare: jars, experiment files or folders of runs");
         }
         Path folder = compare.resolveOutputFolder("compared");
         List<Long> seeds = parseSeeds(compare.seeds);
-        List<JsonNode> a = collectSummaries(compare, compare.arguments.get(0), compare.experimentFile, seeds, folder.resolve("a"));
-        List<JsonNode> b = collectSummaries(compare, compare.arguments.get(1), compare.experimentFile, seeds, folder.resolve("b"));
+        List<JsonNode> a = collectSummaries(compare, compare.arguments.get(0), compare.experimentFile, seeds,
+                folder.resolve("a"));
+        List<JsonNode> b = collectSummaries(compare, compare.arguments.get(1), compare.experimentFile, seeds,
+                folder.resolve("b"));
         List<Long> seedsA = a.stream().map(json -> json.path("seed").asLong()).toList();
         if (a.isEmpty() || !seedsA.equals(b.stream().map(json -> json.path("seed").asLong()).toList())) {
-            throw new UserInputException("the two sides have no runs on the same seeds");
+            throw new UserInputException("the two sides do not have runs with the same seeds");
         }
         StringBuilder words = new StringBuilder();
         Comparison.of(a, b).forEach(one -> words.append(one.describe()).append(System.lineSeparator()));
         long broken = Stream.concat(a.stream(), b.stream()).filter(json -> json.path("status").asInt() == 1).count();
-        words.append(broken).append(" of ").append(a.size() * 2).append(" days broke a rule").append(System.lineSeparator());
+        words.append(broken).append(" of ").append(a.size() * 2).append(" runs broke a rule").append(System.lineSeparator());
         out.print(words);
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("comparison.txt"), words);
@@ -524,14 +530,16 @@
         List<String> values = List.of(sweep.values.split(","));
         List<List<JsonNode>> all = new ArrayList<>();
         boolean broken = false;
-        for (String value : values) { // all of them are checked before the first is played
+        for (String value : values) { // checks all values before the first run
             sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value));
         }
         for (String value : values) {
             List<JsonNode> some = new ArrayList<>();
             for (long seed : parseSeeds(sweep.seeds)) {
-                Experiment day = sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value)).withSeed(seed);
-                CompletedRun played = runExperiment(sweep, day, folder.resolve(value.replaceAll("\\W", "_")).resolve(Long.toString(seed)), out);
+                Experiment day = sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value))
+                        .withSeed(seed);
+                CompletedRun played = runExperiment(sweep, day,
+                        folder.resolve(value.replaceAll("\\W", "_")).resolve(Long.toString(seed)), out);
                 broken |= played.status == 1;
                 if (interrupted) {
                     return EXIT_VOID;
@@ -572,7 +580,7 @@
         } catch (IllegalArgumentException e) {
             throw new UserInputException("--step " + e.getMessage());
         }
-        throw new UserInputException("--step " + text + ": a step takes time");
+        throw new UserInputException("--step " + text + ": must be longer than 0");
     }
 
     private int list(ListOptions listing) throws IOException, UserInputException {
@@ -600,7 +608,7 @@
                 }
             }
         } catch (NumberFormatException e) {
-            throw new UserInputException("seeds " + text + ": numbers and spans such as 1-5,9 are needed");
+            throw new UserInputException("--seeds " + text + ": expected numbers and ranges such as 1-5,9");
         }
         return seeds;
     }
--- a/src/main/java/terndyke/lab/plan/ExperimentFile.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentFile.java
@@ -67,8 +67,8 @@
             }
             tree = parseTree(parser, "", places);
         } catch (JsonProcessingException e) {
-            throw new UserInputException(name + ":" + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()) + ": invalid YAML: "
-                    + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new UserInputException(name + ":" + (e.getLocation() == null ? 0 : e.getLocation().getLineNr())
+                    + ": invalid YAML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new UserInputException(name + ": " + e.getMessage());
         }
--- a/src/main/java/terndyke/lab/report/Comparison.java
+++ b/src/main/java/terndyke/lab/report/Comparison.java
@@ -11,8 +11,8 @@
 import org.apache.commons.statistics.inference.WilcoxonSignedRankTest;
 
 /**
- * Two sides on the same seeds. Their differences pair by pair say whether one is better: the seeds' own differences,
- * which are large, cancel out.
+ * Compares a metric of two sets of runs, A and B, with the same seeds. The test is paired by seed, so that the large
+ * differences between seeds cancel out.
  */
 public record Comparison(String metric, double[] valuesA, double[] valuesB) {
     private static final double SIGNIFICANCE_LEVEL = 0.05;
@@ -34,7 +34,7 @@
                 .getAsDouble(Statistic.STANDARD_DEVIATION);
     }
 
-    /** The chance that no difference would look at least like this one; 1 where there are too few pairs to tell. */
+    /** The p-value of the paired t-test; 1 if there are fewer than three pairs. */
     public double pValue() {
         double[] differences = differences();
         if (differences.length < 3) {
@@ -46,7 +46,7 @@
         return TTest.withDefaults().with(AlternativeHypothesis.TWO_SIDED).pairedTest(valuesA, valuesB).getPValue();
     }
 
-    /** The same by ranks, which a single wild day cannot carry. */
+    /** The p-value of the Wilcoxon signed-rank test, which is robust against a single outlier. */
     public double rankTestPValue() {
         double[] differences = differences();
         if (differences.length < 5 || standardDeviation(differences) < 1e-12) {
@@ -65,16 +65,17 @@
         return pValue() < SIGNIFICANCE_LEVEL;
     }
 
+    /** The comparison as one line of text. */
     public String describe() {
         double[] differences = differences();
         return String.format(Locale.ROOT, "%s: A %.3f (spread %.3f), B %.3f (spread %.3f), B - A %+.3f (spread %.3f), %s "
-                + "(p %.3f by means%s, %d pairs)", metric, meanA(), standardDeviation(valuesA), meanB(), standardDeviation(valuesB),
-                mean(differences), standardDeviation(differences), valuesA.length < 3 ? "too few pairs to tell"
-                : isSignificant() ? "more than noise" : "no more than noise", pValue(),
-                valuesA.length < 5 ? "" : String.format(Locale.ROOT, ", %.3f by ranks", rankTestPValue()), valuesA.length);
+                + "(p %.3f by means%s, %d pairs)", metric, meanA(), standardDeviation(valuesA), meanB(),
+                standardDeviation(valuesB), mean(differences), standardDeviation(differences),
+                valuesA.length < 3 ? "too few pairs to tell" : isSignificant() ? "more than noise" : "no more than noise",
+                pValue(), valuesA.length < 5 ? "" : String.format(Locale.ROOT, ", %.3f by ranks", rankTestPValue()), valuesA.length);
     }
 
-    /** For each figure that two lists of summaries share, in order. */
+    /** Compares the summaries of two sets of runs by their main metrics; both lists must be in the same order of seeds. */
     public static List<Comparison> of(List<com.fasterxml.jackson.databind.JsonNode> a,
             List<com.fasterxml.jackson.databind.JsonNode> b) {
         List<Comparison> all = new ArrayList<>();
--- a/src/main/java/terndyke/lab/report/Plots.java
+++ b/src/main/java/terndyke/lab/report/Plots.java
@@ -21,10 +21,10 @@
 import terndyke.lab.run.ExperimentResult;
 import terndyke.lab.run.ResourceSampler;
 
-/** Draws a day's plots, with the failures shaded. */
+/** Creates the charts of a run, with the times of failures shaded. */
 final class Plots {
-    private static final Color[] LINE_COLORS = {new Color(0x4477aa), new Color(0x228833), new Color(0xcc8800), new Color(0xaa3377),
-        new Color(0x66ccee), new Color(0x555555), new Color(0xee6677), new Color(0x999933)};
+    private static final Color[] LINE_COLORS = {new Color(0x4477aa), new Color(0x228833), new Color(0xcc8800),
+        new Color(0xaa3377), new Color(0x66ccee), new Color(0x555555), new Color(0xee6677), new Color(0x999933)};
     private static final Color FAILURE_COLOR = new Color(200, 60, 60, 28);
 
     private final ExperimentResult experimentResult;
@@ -38,7 +38,7 @@
         seconds = Math.max(1, (int) Math.ceil(outcome.seconds()));
     }
 
-    /** A plot as an image for a page: its title, and what is in it. */
+    /** The chart as a PNG image in a data URI, so that the page needs no other files. */
     static String toDataUri(XYChart chart) throws IOException {
         return "data:image/png;base64," + Base64.getEncoder()
                 .encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
@@ -95,8 +95,8 @@
         charts.add(createCallsInProgressChart());
         charts.add(createNodeChart("Memory of each node", "MB", sample -> sample.memoryMb()));
         charts.add(createNodeChart("CPU of each node", "cores", sample -> sample.cores()));
-        charts.add(createNodeChart("Descriptors of each node", "open", sample -> java.util.Arrays.stream(sample.fileDescriptors())
-                .asDoubleStream().toArray()));
+        charts.add(createNodeChart("File descriptors of each node", "open", sample -> java.util.Arrays
+                .stream(sample.fileDescriptors()).asDoubleStream().toArray()));
         return charts;
     }
 
@@ -123,8 +123,9 @@
         }
         summary.deliveredAtMicrosByMessage().values().forEach(at -> countInSecond(done, at));
         experimentResult.histories().stream().filter(story -> story.noticeAtMicros() >= 0)
-                .forEach(story -> countInSecond("bounced".equals(story.noticeResult()) ? bounced : terminated, story.noticeAtMicros()));
-        XYChart chart = createChart("Records a second", "s", "records/s");
+                .forEach(story -> countInSecond("bounced".equals(story.noticeResult()) ? bounced : terminated,
+                        story.noticeAtMicros()));
+        XYChart chart = createChart("Records per second", "s", "records/s");
         shadeFailures(chart, maxValue(offered, done));
         addLine(chart, "offered", secondsAxis(), offered);
         addLine(chart, "done", secondsAxis(), done);
@@ -133,7 +134,7 @@
         return chart;
     }
 
-    /** Percentiles of the time to delivery, by the second in which records were due. */
+    /** Percentiles of the time from due to delivered, by the second in which the records were due. */
     private XYChart createLatencyChart() {
         List<Histogram> each = new ArrayList<>();
         for (int i = 0; i < seconds; i++) {
@@ -161,7 +162,7 @@
     }
 
     private XYChart createCallsInProgressChart() {
-        XYChart chart = createChart("Calls in hand, by destination (the eight fullest)", "s", "calls");
+        XYChart chart = createChart("Calls in progress by destination (the eight busiest)", "s", "calls");
         List<ResourceSampler.Sample> samples = experimentResult.samples();
         if (samples.isEmpty()) {
             return chart;
@@ -188,7 +189,8 @@
         return chart;
     }
 
-    private XYChart createNodeChart(String title, String unit, java.util.function.Function<ResourceSampler.Sample, double[]> what) {
+    private XYChart createNodeChart(String title, String unit,
+            java.util.function.Function<ResourceSampler.Sample, double[]> what) {
         XYChart chart = createChart(title, "s", unit);
         List<ResourceSampler.Sample> samples = experimentResult.samples();
         double[] x = samples.stream().mapToDouble(ResourceSampler.Sample::atSeconds).toArray();
--- a/src/main/java/terndyke/lab/report/ReportWriter.java
+++ b/src/main/java/terndyke/lab/report/ReportWriter.java
@@ -23,7 +23,10 @@
 import terndyke.lab.referee.ObservedEvent;
 import terndyke.lab.run.ExperimentResult;
 
-/** Leaves a day's folder: the experiment, its summary, histograms, events, breaches, and a page that stands alone. */
+/**
+ * Writes the results of a run to a folder: the experiment, its summary, latency histograms, events, breaches, and a
+ * self-contained HTML report.
+ */
 public final class ReportWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String CSS = "body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;color:#222}"
@@ -32,7 +35,7 @@
 
     private ReportWriter() { }
 
-    /** Writes all of it, and returns the summary. */
+    /** Writes all files, prints the summary, and returns it as JSON. */
     public static JsonNode write(ExperimentResult outcome, Path folder, PrintStream out) throws IOException {
         Files.createDirectories(folder);
         Summary summary = new Summary(outcome);
@@ -58,7 +61,7 @@
         }
     }
 
-    /** One interval a second by when records were due, in the histogram log format; values are microseconds. */
+    /** Writes one interval per second in which records were due, in the HdrHistogram log format; values are microseconds. */
     private static void writeHistograms(ExperimentResult outcome, Summary summary, Path file) throws IOException {
         int seconds = Math.max(1, (int) Math.ceil(outcome.seconds()));
         try (PrintStream stream = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.US_ASCII)) {
@@ -84,17 +87,19 @@
 
     private static String createPage(ExperimentResult outcome, Summary summary, JsonNode json) throws IOException {
         StringBuilder html = new StringBuilder(1 << 20);
-        html.append("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(escapeHtml(outcome.experiment().name()))
+        html.append("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
+                .append(escapeHtml(outcome.experiment().name()))
                 .append("</title><style>").append(CSS).append("</style><h1>").append(escapeHtml(outcome.experiment().name()))
-                .append(", seed ").append(outcome.experiment().seed()).append("</h1><p>").append(escapeHtml(outcome.experiment().about()))
-                .append("</p>");
-        String verdict = outcome.voidedBecause() != null ? "Void: " + outcome.voidedBecause() + ". None of the figures counts."
+                .append(", seed ").append(outcome.experiment().seed()).append("</h1><p>")
+                .append(escapeHtml(outcome.experiment().about())).append("</p>");
+        String verdict = outcome.voidedBecause() != null ? "Void: " + outcome.voidedBecause() + ". None of the figures is valid."
                 : outcome.breaches().isEmpty() ? "All six rules kept." : outcome.breaches().size() + " breaches of the rules.";
         html.append("<p class=\"").append(outcome.status() == 0 ? "good" : "bad").append("\"><b>").append(escapeHtml(verdict))
                 .append("</b></p>");
         html.append("<p>Build: ").append(escapeHtml(outcome.build())).append("</p>");
         appendTable(html, "Messages", json.path("messages"));
-        html.append("<p>Goodput (delivered worth as a share of the offered): <b>").append(json.path("goodput")).append("</b></p>");
+        html.append("<p>Goodput (delivered payoff as a share of the offered payoff): <b>").append(json.path("goodput"))
+                .append("</b></p>");
         for (XYChart chart : new Plots(outcome, summary).createAll()) {
             html.append("<p><img alt=\"").append(escapeHtml(chart.getTitle())).append("\" src=\"").append(Plots.toDataUri(chart))
                     .append("\"></p>");
@@ -103,7 +108,7 @@
         appendGradeTable(html, json.path("grades"));
         appendTable(html, "Calls at the receivers", json.path("calls"));
         appendTable(html, "Records that went to more than one hall", json.path("crossings"));
-        html.append("<h2>Machines</h2><table><tr><th>node<th>most memory, MB<th>most CPU, cores<th>most descriptors</tr>");
+        html.append("<h2>Machines</h2><table><tr><th>node<th>max memory, MB<th>max CPU, cores<th>max file descriptors</tr>");
         json.path("machines").forEach(one -> html.append("<tr><td>").append(one.path("node")).append("<td>")
                 .append(one.path("mostMemoryMb")).append("<td>").append(one.path("mostCores")).append("<td>")
                 .append(one.path("mostDescriptors")).append("</tr>"));
@@ -113,17 +118,18 @@
             outcome.breaches().stream().limit(20).forEach(breach -> html.append("<pre>").append(escapeHtml(breach.toString()))
                     .append("</pre>"));
         }
-        html.append("<h2>Experiment</h2><pre>").append(escapeHtml(ExperimentFile.toYaml(outcome.experiment()))).append("</pre></html>");
+        html.append("<h2>Experiment</h2><pre>").append(escapeHtml(ExperimentFile.toYaml(outcome.experiment())))
+                .append("</pre></html>");
         return html.toString();
     }
 
     private static void appendLatencyTable(StringBuilder html, JsonNode latency, JsonNode lateness) {
-        html.append("<h2>Times, ms</h2><p>From due counts what the schedule asked for; from sent leaves out what waited "
-                + "before it was sent, and so hides stalls.</p><table><tr><th><th>count<th>p50<th>p90<th>p99<th>p99.9<th>max</tr>");
+        html.append("<h2>Latencies, ms</h2><p>\"From due\" starts at the scheduled time; \"from sent\" excludes the wait "
+                + "before sending, and so hides stalls.</p><table><tr><th><th>count<th>p50<th>p90<th>p99<th>p99.9<th>max</tr>");
         List<String> names = new ArrayList<>();
         latency.fieldNames().forEachRemaining(names::add);
         names.forEach(name -> appendLatencyRow(html, name, latency.path(name)));
-        appendLatencyRow(html, "the tool's own lateness", lateness);
+        appendLatencyRow(html, "lateness of the load tool", lateness);
         html.append("</table>");
     }
 
--- a/src/main/java/terndyke/lab/report/Summary.java
+++ b/src/main/java/terndyke/lab/report/Summary.java
@@ -26,7 +26,10 @@
 import terndyke.lab.run.ExperimentResult;
 import terndyke.lab.run.ResourceSampler;
 
-/** A day in figures. Times in milliseconds unless a name says otherwise; worth as a share of what was offered. */
+/**
+ * Computes the figures of a run. Times in the summary are milliseconds unless a name says otherwise; payoff is given as a
+ * share of the offered payoff.
+ */
 public final class Summary {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
@@ -34,8 +37,10 @@
 
     private final ExperimentResult experimentResult;
     private final Experiment experiment;
-    /** By message: when the first of its ids was delivered; whether any was told dead or bounced; taken at all. */
+    // A message that is handed in again has several ids; the figures count messages.
+    /** When the first record of each message was delivered. */
     private final Map<Integer, Long> deliveredAtMicrosByMessage = new HashMap<>();
+    /** The notice result (dead or bounced) of messages with an undelivered record. */
     private final Map<Integer, String> noticeResultsByMessage = new HashMap<>();
     private final Set<Integer> acceptedMessages = new HashSet<>();
     private final Map<Integer, HandedInRecord> recordsByMessage = new TreeMap<>();
@@ -81,7 +86,7 @@
         return noticeResultsByMessage;
     }
 
-    /** What a record is worth that is delivered after so long, as a share of its grade's worth. */
+    /** The payoff of a record delivered the given time (microseconds) after it was due, as a share of its grade's worth. */
     static double payoffShare(Grade grade, long after) {
         if (after <= grade.target().micros()) {
             return 1;
@@ -90,7 +95,7 @@
         return late > 1 ? 0 : 1 - (1 - grade.lateWorth()) * late;
     }
 
-    /** The share of the offered worth that was delivered; records that were never handed in are offered too. */
+    /** The delivered payoff as a share of the offered payoff; records that were never handed in count as offered. */
     public double goodput() {
         return goodput(-1);
     }
@@ -109,12 +114,14 @@
         return offered > 0 ? got / offered : experimentResult.offeredCount() == 0 || only >= 0 ? 1 : 0;
     }
 
+    /** The content of summary.json. */
     public ObjectNode toJson() {
         ObjectNode json = JSON.createObjectNode();
         json.put("name", experiment.name()).put("seed", experiment.seed()).put("build", experimentResult.build())
-                .put("seconds", round(experimentResult.seconds())).put("status", experimentResult.status()).put("void", experimentResult.voidedBecause());
-        json.put("nodes", experiment.nodes().count()).put("receivers", experimentResult.receiverCount()).put("offered", experimentResult.offeredCount())
-                .put("goodput", round(goodput()));
+                .put("seconds", round(experimentResult.seconds())).put("status", experimentResult.status())
+                .put("void", experimentResult.voidedBecause());
+        json.put("nodes", experiment.nodes().count()).put("receivers", experimentResult.receiverCount())
+                .put("offered", experimentResult.offeredCount()).put("goodput", round(goodput()));
         int inTarget = 0;
         for (Map.Entry<Integer, Long> one : deliveredAtMicrosByMessage.entrySet()) {
             HandedInRecord handed = recordsByMessage.get(one.getKey());
@@ -123,7 +130,8 @@
         Map<String, Integer> ends = new TreeMap<>();
         noticeResultsByMessage.values().forEach(result -> ends.merge(result, 1, Integer::sum));
         int[] doors = experimentResult.handInCounts();
-        json.putObject("messages").put("handedIn", doors[0]).put("taken", acceptedMessages.size()).put("done", deliveredAtMicrosByMessage.size())
+        json.putObject("messages").put("handedIn", doors[0]).put("taken", acceptedMessages.size())
+                .put("done", deliveredAtMicrosByMessage.size())
                 .put("doneInTarget", inTarget).put("bounced", ends.getOrDefault("bounced", 0))
                 .put("terminated", ends.getOrDefault("dead", 0)).put("refusedForGood", doors[2]).put("failedAtDoor", doors[3])
                 .put("unanswered", doors[4]);
@@ -142,7 +150,8 @@
         for (int i = 0; i < experiment.grades().size(); i++) {
             int grade = i;
             long offered = recordsByMessage.values().stream().filter(handed -> handed.grade() == grade).count();
-            long done = deliveredAtMicrosByMessage.keySet().stream().filter(message -> recordsByMessage.get(message).grade() == grade).count();
+            long done = deliveredAtMicrosByMessage.keySet().stream()
+                    .filter(message -> recordsByMessage.get(message).grade() == grade).count();
             grades.putObject(experiment.grades().get(i).name()).put("offered", offered).put("done", done)
                     .put("goodput", round(goodput(i)));
         }
@@ -155,7 +164,8 @@
     private void addBreachCounts(ObjectNode json) {
         for (int rule = 1; rule <= 6; rule++) {
             int number = rule;
-            json.put(Integer.toString(rule), experimentResult.breaches().stream().filter(breach -> breach.rule() == number).count());
+            json.put(Integer.toString(rule),
+                    experimentResult.breaches().stream().filter(breach -> breach.rule() == number).count());
         }
     }
 
@@ -178,14 +188,15 @@
         counts.forEach(json::put);
     }
 
-    /** Records whose calls went to more than one hall, by grade. */
+    /** Counts, by grade, the records whose calls went to more than one hall. */
     private void addHallCrossings(ObjectNode json) {
         Map<String, Set<Integer>> halls = new HashMap<>();
         experimentResult.events().stream().filter(sight -> sight.what() == EventType.CALL).forEach(sight -> halls
                 .computeIfAbsent(sight.id(), id -> new HashSet<>()).add(sight.hall()));
         int[] crossed = new int[experiment.grades().size()];
         for (RecordHistory story : experimentResult.histories()) {
-            crossed[story.handedInRecord().grade()] += halls.getOrDefault(story.handedInRecord().id(), Set.of()).size() > 1 ? 1 : 0;
+            crossed[story.handedInRecord().grade()] +=
+                    halls.getOrDefault(story.handedInRecord().id(), Set.of()).size() > 1 ? 1 : 0;
         }
         for (int i = 0; i < crossed.length; i++) {
             json.put(experiment.grades().get(i).name(), crossed[i]);
@@ -207,7 +218,7 @@
         }
     }
 
-    /** From a drain's telling to the last new shot at that receiver, for each node and drain. */
+    /** For each node and draining receiver, the time from the node's notification of the drain to its last new shot there. */
     private Histogram drainToLastShotTimes() {
         Histogram histogram = new Histogram(1, MAX_LATENCY_MICROS, 3);
         Map<String, Long> since = new HashMap<>();
@@ -240,7 +251,7 @@
         return Math.round(figure * 1e3) / 1e3;
     }
 
-    /** What a person reads first. */
+    /** The summary as text for the console. */
     static String describe(JsonNode json, List<Breach> breaches) {
         List<String> lines = new ArrayList<>();
         JsonNode messages = json.path("messages");
--- a/src/main/java/terndyke/lab/report/SweepPlot.java
+++ b/src/main/java/terndyke/lab/report/SweepPlot.java
@@ -12,14 +12,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One figure of a summary over the values of a field: mean and spread over the seeds. */
+/** Plots metrics of the summaries against the values of a field: mean and standard deviation over the seeds. */
 public final class SweepPlot {
     private SweepPlot() { }
 
     /**
-     * Leaves a page with a plot for each figure.
+     * Writes an HTML page with a plot for each metric.
      *
-     * @param all for each value the summaries of its seeds
+     * @param all for each value, the summaries of its seeds
      */
     public static void write(Path file, String field, List<String> values, List<String> figures, List<List<JsonNode>> all,
             PrintStream out) throws IOException {
@@ -32,7 +32,8 @@
         Files.writeString(file, html);
     }
 
-    private static XYChart createChart(String field, List<String> values, String figure, List<List<JsonNode>> all, PrintStream out) {
+    private static XYChart createChart(String field, List<String> values, String figure, List<List<JsonNode>> all,
+            PrintStream out) {
         double[] x = new double[values.size()];
         double[] mean = new double[x.length];
         double[] spread = new double[x.length];
@@ -51,7 +52,7 @@
         return chart;
     }
 
-    /** A value's place on the axis: its number, or its turn where it has none. */
+    /** The position of a value on the x axis: its number without the unit, or its index if it is not a number. */
     private static double axisPosition(String value, int turn) {
         String digits = value.replaceAll("[a-zA-Z]+$", "");
         try {
--- a/src/main/java/terndyke/lab/traced/FleetStatistics.java
+++ b/src/main/java/terndyke/lab/traced/FleetStatistics.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 
 /**
- * What all nodes of a fleet did together, by step of time: at all destinations, and at each one. A step's figures are
- * counts, but for the calls out and the records that waited, which are means over the step.
+ * Statistics of all nodes of a fleet together, per time step: for all destinations and for each one. The metrics are
+ * counts per step, except for OUT (shots in progress) and WAITING (waiting records), which are means over the step.
  */
 public final class FleetStatistics {
-    /** The columns, in the order in which they are shown. */
+    /** The columns of the table, in the order shown. */
     public enum Metric {
         TAKEN, SHOTS, OPENED, DONE, FULL, TOLD, CROWDED, FAILED, RECALLED, UNSENT, PROBES, LISTS, REFUSED, BOUNCED, TERMINATED,
         OUT, WAITING
     }
 
-    /** The figures of one step, those of Sum in its order; out and waiting in microseconds until they are read. */
+    /** The totals of one time step, indexed by the ordinal of {@link Metric}; OUT and WAITING as means over the step. */
     private static final class StepTotals {
         private final double[] totals = new double[Metric.values().length];
 
@@ -31,8 +31,8 @@
     private final long stepMicros;
     private final Map<String, TreeMap<Long, StepTotals>> totalsByDestination = new TreeMap<>();
     private final TreeMap<Long, StepTotals> totalsByStep = new TreeMap<>();
-    private final Map<String, String> destinationsByWaitingRecord = new HashMap<>(); // record at its node: its destination
-    private final Map<String, String> destinationsByOpenShot = new HashMap<>(); // shot at its node: its destination
+    private final Map<String, String> destinationsByWaitingRecord = new HashMap<>(); // by node and record
+    private final Map<String, String> destinationsByOpenShot = new HashMap<>(); // by node, record and shot
     private long accountedUntilMicros;
 
     private FleetStatistics(long start, long step) {
@@ -41,7 +41,7 @@
         accountedUntilMicros = start;
     }
 
-    /** Adds up what was traced, in order of time. */
+    /** Computes the statistics of traced lines, which must be sorted by time; the step is in microseconds. */
     public static FleetStatistics of(List<TraceLine> lines, long step) {
         FleetStatistics sums = new FleetStatistics(lines.get(0).atMicros(), step);
         lines.forEach(sums::process);
@@ -55,7 +55,8 @@
         switch (line.verb()) {
             case "taken" -> {
                 count(line, line.argument(3), Metric.TAKEN);
-                if (destinationsByOpenShot.keySet().stream().noneMatch(one -> one.startsWith(record + " "))) { // its shot may be told first
+                // the first shot of a record may be traced before the record itself
+                if (destinationsByOpenShot.keySet().stream().noneMatch(one -> one.startsWith(record + " "))) {
                     destinationsByWaitingRecord.put(record, line.argument(3));
                 }
             }
@@ -69,7 +70,8 @@
             }
             case "over" -> {
                 countEnding(line);
-                if (destinationsByOpenShot.remove(shot) != null && !line.argument(4).equals("DONE") && !line.argument(4).equals("RECALLED")) {
+                if (destinationsByOpenShot.remove(shot) != null && !line.argument(4).equals("DONE")
+                        && !line.argument(4).equals("RECALLED")) {
                     destinationsByWaitingRecord.put(record, line.argument(3));
                 }
             }
@@ -80,7 +82,7 @@
             }
             case "probe" -> count(line, line.argument(1), Metric.PROBES);
             case "list" -> count(line, null, Metric.LISTS);
-            case "serving" -> { // a new life of the node: what its last one had out is over
+            case "serving" -> { // a restart of the node ends the shots of its previous process run
                 destinationsByOpenShot.keySet().removeIf(one -> one.startsWith(line.node() + " "));
                 destinationsByWaitingRecord.keySet().removeIf(one -> one.startsWith(line.node() + " "));
             }
@@ -112,7 +114,7 @@
         }
     }
 
-    /** The time up to now goes to what was out and what waited in it. */
+    /** Adds the time up to now to OUT and WAITING for the shots in progress and the records that are waiting. */
     private void advanceTo(long now) {
         while (accountedUntilMicros < now) {
             long at = (accountedUntilMicros - startMicros) / stepMicros;
@@ -130,13 +132,14 @@
                 .computeIfAbsent(at, number -> new StepTotals()).add(sum, share);
     }
 
-    /** A figure of a step, of one destination or, where that is null, of all. */
+    /** The value of a metric in the given step, for one destination or, if it is null, for all. */
     public double value(String destination, long at, Metric sum) {
-        StepTotals found = (destination == null ? totalsByStep : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(at);
+        StepTotals found = (destination == null ? totalsByStep
+                : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(at);
         return found == null ? 0 : found.totals[sum.ordinal()];
     }
 
-    /** The destinations, those with the most records first. */
+    /** The destinations, ordered by their number of accepted records, highest first. */
     public List<String> destinations() {
         List<String> names = new ArrayList<>(totalsByDestination.keySet());
         names.sort(java.util.Comparator.comparingDouble(name -> -totalsByDestination.get(name).values().stream()
@@ -148,7 +151,7 @@
         return totalsByStep.isEmpty() ? 0 : totalsByStep.lastKey() + 1;
     }
 
-    /** A table of one destination's steps, or of all where it is null. */
+    /** A table with one line per time step, for one destination or, if it is null, for all. */
     public String formatTable(String destination) {
         StringBuilder table = new StringBuilder(destination == null ? "all destinations" : "destination " + destination)
                 .append(String.format("%n%8s", "s"));
--- a/src/main/java/terndyke/lab/traced/TraceLine.java
+++ b/src/main/java/terndyke/lab/traced/TraceLine.java
@@ -12,12 +12,12 @@
 
 import terndyke.lab.plan.UserInputException;
 
-/** One line that a node wrote with serve --trace: when, on its clock in microseconds, the verb and what it is about. */
+/** A line that a node wrote with serve --trace: its time (the node's clock, microseconds), node, verb and arguments. */
 public record TraceLine(long atMicros, String node, String verb, List<String> arguments) {
     private static final String TRACE_PREFIX = "trace";
     private static final int MIN_FIELDS = 4;
 
-    /** All traced lines of a folder's logs, or of one log, in order of time; whatever else they hold is passed over. */
+    /** Reads all traced lines of one log, or of all logs in a folder, sorted by time; other lines are ignored. */
     public static List<TraceLine> read(Path logs) throws IOException, UserInputException {
         List<TraceLine> lines = new ArrayList<>();
         try (Stream<Path> files = Files.walk(logs)) {
@@ -26,7 +26,7 @@
             }
         }
         if (lines.isEmpty()) {
-            throw new UserInputException(logs + ": no traced line; nodes write them with serve --trace");
+            throw new UserInputException(logs + ": no traced lines found; nodes write them with serve --trace");
         }
         lines.sort(Comparator.comparingLong(TraceLine::atMicros));
         return lines;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The line, behind whatever stamp its collector put in front of it, or null where it is none. */
+    /** Parses a line, ignoring any time stamp that a log collector put in front; null if it is not a traced line. */
     static TraceLine parse(String text) {
         int mark = text.startsWith(TRACE_PREFIX + " ") ? 0 : text.indexOf(" " + TRACE_PREFIX + " ") + 1;
         String[] words = mark == 0 && !text.startsWith(TRACE_PREFIX + " ") ? new String[0] : text.substring(mark).split(" ");
@@ -56,7 +56,7 @@
         }
     }
 
-    /** What stands at a place, or nothing: a line may be cut off where its node was killed. */
+    /** The argument at an index, or an empty string: a line may be truncated if its node was killed while writing it. */
     String argument(int place) {
         return place < arguments.size() ? arguments.get(place) : "";
     }
