--- a/src/main/java/terndyke/lab/traced/FleetStatistics.java
+++ b/src/main/java/terndyke/lab/traced/FleetStatistics.java
@@ -82,7 +82,7 @@
             }
             case "probe" -> count(line, line.argument(1), Metric.PROBES);
             case "list" -> count(line, null, Metric.LISTS);
-            case "serving" -> { // a restart of the node ends the shots of its previous process run
+            case "serving" -> { // a restart ends the shots and waits of the node's previous process run
                 destinationsByOpenShot.keySet().removeIf(one -> one.startsWith(line.node() + " "));
                 destinationsByWaitingRecord.keySet().removeIf(one -> one.startsWith(line.node() + " "));
             }
--- a/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
@@ -36,8 +36,8 @@
     @Test
     void theTwoFailuresThatFailOnlyTogetherAreKept() throws Exception {
         Set<Kind> culprits = Set.of(Kind.KILL, Kind.SILENT);
-        ExperimentShrinker shrinker = new ExperimentShrinker(day -> failureKinds(day).containsAll(culprits) && day.length().micros() >= 3_000_000, 1,
-                text -> { });
+        ExperimentShrinker shrinker = new ExperimentShrinker(
+                day -> failureKinds(day).containsAll(culprits) && day.length().micros() >= 3_000_000, 1, text -> { });
         Experiment least = shrinker.shrink(withFailures(Kind.HANG, Kind.KILL, Kind.SLOW, Kind.MUTE, Kind.SILENT, Kind.DRAIN,
                 Kind.LIST_LATE));
         assertEquals(culprits, failureKinds(least));
@@ -58,6 +58,7 @@
             assertEquals(ExperimentFile.toYaml(drawn), ExperimentFile.toYaml(ExperimentGenerator.generate(baseExperiment, seed)));
             assertTrue(drawn.findInconsistencies().isEmpty(), drawn.findInconsistencies().toString());
         }
-        assertTrue(!ExperimentGenerator.generate(baseExperiment, 1).failures().equals(ExperimentGenerator.generate(baseExperiment, 2).failures()));
+        assertTrue(!ExperimentGenerator.generate(baseExperiment, 1).failures()
+                .equals(ExperimentGenerator.generate(baseExperiment, 2).failures()));
     }
 }
--- a/src/test/java/terndyke/lab/referee/RefereeTest.java
+++ b/src/test/java/terndyke/lab/referee/RefereeTest.java
@@ -23,10 +23,12 @@
     private boolean independentRoutes;
 
     private List<Integer> judge() {
-        RuleParameters rules = new RuleParameters(List.of(new RuleParameters.Grade(RepeatSemantics.IDEMPOTENT, false, 5 * SECOND_MICROS, false),
+        RuleParameters rules = new RuleParameters(List.of(
+                new RuleParameters.Grade(RepeatSemantics.IDEMPOTENT, false, 5 * SECOND_MICROS, false),
                 new RuleParameters.Grade(RepeatSemantics.DEDUPLICATED, false, 5 * SECOND_MICROS, true),
-                new RuleParameters.Grade(RepeatSemantics.UNREPEATABLE, false, 5 * SECOND_MICROS, false)), copiesAllowed, 2 * SECOND_MICROS, 2 * SECOND_MICROS, 100_000,
-                List.of(independentRoutes, false), 50_000, 300_000, 1_500_000, 100_000, 6 * SECOND_MICROS);
+                new RuleParameters.Grade(RepeatSemantics.UNREPEATABLE, false, 5 * SECOND_MICROS, false)), copiesAllowed,
+                2 * SECOND_MICROS, 2 * SECOND_MICROS, 100_000, List.of(independentRoutes, false), 50_000, 300_000, 1_500_000,
+                100_000, 6 * SECOND_MICROS);
         events.sort(Comparator.comparingLong(ObservedEvent::at));
         List<Breach> breaches = new Referee(rules, 60 * SECOND_MICROS).judge(events);
         breaches.forEach(breach -> assertTrue(!breach.timeline().isEmpty()));
@@ -34,23 +36,23 @@
     }
 
     private void addHandedIn(long at, String id, int grade, int answer) {
-        HandedInRecord handed = new HandedInRecord(id, id.hashCode(), 0, grade, 0, grade == ORDER ? "k" : null, 0, "m-" + id, at, at, 4 * SECOND_MICROS, 0,
-                false);
+        HandedInRecord handed = new HandedInRecord(id, id.hashCode(), 0, grade, 0, grade == ORDER ? "k" : null, 0, "m-" + id,
+                at, at, 4 * SECOND_MICROS, 0, false);
         events.add(ObservedEvent.ofClient(at, EventType.HANDED_IN, handed, 0, null));
         if (answer != 0) {
             events.add(ObservedEvent.ofClient(at + 1_000, EventType.ANSWERED, handed, answer, null));
         }
     }
 
-    /** A call that comes, and what becomes of it: a status, or 0 for nothing at all. */
+    /** Adds a call that arrives at a receiver, and its answer with the given status; 0 means no answer. */
     private void addCall(long at, String id, long number, int hall, int status, long toldWait) {
         events.add(new ObservedEvent(at, EventType.CALL, 0, id, number, "s-" + hall, 0, hall, 0, 0, at - 500, null, null));
         if (status == 200 || status == 500) {
             events.add(new ObservedEvent(at + 5_000, EventType.RAN, 0, id, 0, "s-" + hall, 0, hall, 0, 0, 0, null, null));
         }
         if (status != 0) {
-            events.add(new ObservedEvent(at + 10_000, EventType.CALL_ANSWERED, 0, id, number, "s-" + hall, 0, hall, status, toldWait, 0, null,
-                    null));
+            events.add(new ObservedEvent(at + 10_000, EventType.CALL_ANSWERED, 0, id, number, "s-" + hall, 0, hall, status,
+                    toldWait, 0, null, null));
         }
     }
 
@@ -90,7 +92,7 @@
         addNotice(SECOND_MICROS + 4 * SECOND_MICROS + 340_000, "a", "dead");
         assertEquals(List.of(), judge());
         addNotice(SECOND_MICROS + 4 * SECOND_MICROS + 340_000, "b", "dead");
-        assertEquals(List.of(1), judge(), "nobody handed it in");
+        assertEquals(List.of(1), judge(), "no client handed record b in");
         events.clear();
         addHandedIn(SECOND_MICROS, "a", STATUS, 202);
         addNotice(SECOND_MICROS + 4 * SECOND_MICROS + 360_000, "a", "dead");
@@ -254,7 +256,7 @@
 
     @Test
     void aSecondRetryAfterDoesNotCancelTheOneBefore() {
-        for (long third : new long[] {150_000, 240_000}) { // the first wait was told at 15 ms, the second at 110 ms
+        for (long third : new long[] {150_000, 240_000}) { // the first wait was received at 15 ms, the second at 110 ms
             events.clear();
             addHandedIn(SECOND_MICROS, "a", STATUS, 202);
             addCall(SECOND_MICROS + 5_000, "a", 1, 0, 429, SECOND_MICROS);
@@ -270,12 +272,14 @@
             events.clear();
             addHandedIn(SECOND_MICROS, "a", PAYMENT, answer);
             events.add(ObservedEvent.ofClient(SECOND_MICROS, EventType.FOREIGN, events.get(0).handed(), 0, null));
-            events.add(new ObservedEvent(SECOND_MICROS + 5_000, EventType.CALL, 0, "a", 1, "s-0", 0, 0, 0, 0, SECOND_MICROS + 4_500, "99", null));
-            events.add(new ObservedEvent(SECOND_MICROS + 9_000, EventType.CALL_ANSWERED, 0, "a", 1, "s-0", 0, 0, 200, 0, 0, null, null));
+            events.add(new ObservedEvent(SECOND_MICROS + 5_000, EventType.CALL, 0, "a", 1, "s-0", 0, 0, 0, 0,
+                    SECOND_MICROS + 4_500, "99", null));
+            events.add(new ObservedEvent(SECOND_MICROS + 9_000, EventType.CALL_ANSWERED, 0, "a", 1, "s-0", 0, 0, 200, 0, 0, null,
+                    null));
             assertEquals(answer == 202 ? List.of(1) : List.of(), judge());
         }
         events.removeIf(sight -> sight.what() == EventType.FOREIGN);
-        assertEquals(List.of(1), judge(), "nobody handed in that content");
+        assertEquals(List.of(1), judge(), "no client handed that content in");
     }
 
     @Test
@@ -285,11 +289,12 @@
         events.clear();
         addHandedIn(SECOND_MICROS, "a", STATUS, 0);
         HandedInRecord handed = events.get(0).handed();
-        events.add(ObservedEvent.ofClient(SECOND_MICROS + 100_000, EventType.BROKEN, handed, 0, "first request of its connection"));
+        events.add(ObservedEvent.ofClient(SECOND_MICROS + 100_000, EventType.BROKEN, handed, 0,
+                "first request of its connection"));
         assertEquals(List.of(), judge());
         events.set(1, ObservedEvent.ofClient(SECOND_MICROS + 100_000, EventType.BROKEN, handed, 0, "owed"));
         assertEquals(List.of(1), judge());
         addNodeEvent(SECOND_MICROS + 90_000, EventType.NODE_KILLED);
-        assertEquals(List.of(), judge(), "a node that is killed owes no answer");
+        assertEquals(List.of(), judge(), "a killed node does not have to answer");
     }
 }
--- a/src/test/java/terndyke/lab/run/LabProcessTest.java
+++ b/src/test/java/terndyke/lab/run/LabProcessTest.java
@@ -20,7 +20,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** The laboratory as its users start it: a process of its own, with real nodes as its children. */
+/** Runs the laboratory as its users do: as a separate process, with real nodes as child processes. */
 class LabProcessTest {
     private static final String EXPERIMENT = """
             name: short
@@ -77,7 +77,7 @@
         assertTrue(summary.at("/calls/ran").asInt() > 30, said);
         String page = Files.readString(folder.resolve("out/report.html"));
         assertEquals(6, page.split("data:image/png;base64,", -1).length - 1);
-        assertFalse(page.contains("http://") || page.contains("https://"), "it stands alone");
+        assertFalse(page.contains("http://") || page.contains("https://"), "the report is self-contained");
         assertTrue(Files.size(folder.resolve("out/events.jsonl")) > 10_000);
         assertTrue(Files.readString(folder.resolve("out/latency.hlog")).startsWith("#[Histogram log format"));
     }
@@ -91,7 +91,7 @@
             line = lines.readLine();
         }
         List<ProcessHandle> nodes = lab.descendants().toList();
-        assertTrue(nodes.size() >= 2, "the nodes run");
+        assertTrue(nodes.size() >= 2, "the nodes are running");
         new ProcessBuilder("kill", "-INT", Long.toString(lab.pid())).start().waitFor();
         assertTrue(lab.waitFor(60, TimeUnit.SECONDS));
         assertEquals(3, lab.exitValue());
--- a/src/test/java/terndyke/lab/traced/FleetStatisticsTest.java
+++ b/src/test/java/terndyke/lab/traced/FleetStatisticsTest.java
@@ -11,7 +11,7 @@
 import terndyke.lab.traced.FleetStatistics.Metric;
 
 class FleetStatisticsTest {
-    /** Two nodes at destination 3 in their first second, one of them killed and back in the second one. */
+    /** Two nodes at destination 3 in the first second; one of them is killed and restarted in the next. */
     private static final List<TraceLine> TRACE_LINES = Stream.of(
             "1.371 trace 1000000 n0 taken 1 aa 0 3 5000000 0",
             "1.372 trace 1000000 n0 shot 1 0 s-1 3 new",
@@ -40,14 +40,15 @@
             assertEquals(0.8, sums.value(destination, 0, Metric.OUT), 1e-9, "0.6 s and 0.2 s in a second");
             assertEquals(0.2 + 0.4, sums.value(destination, 0, Metric.WAITING), 1e-9, "n1's first 0.2 s, n0's after its refusal");
             assertEquals(1, sums.value(destination, 1, Metric.BOUNCED));
-            assertEquals(0.5, sums.value(destination, 1, Metric.OUT), 1e-9, "what a killed node had out is over with its life");
+            assertEquals(0.5, sums.value(destination, 1, Metric.OUT), 1e-9, "shots of a killed node end with its process run");
         }
         assertEquals(1, sums.value(null, 2, Metric.LISTS));
     }
 
     @Test
     void aRecordIsFoundByItsIdAndOtherLinesAreIgnored() {
-        assertEquals(List.of("taken", "shot", "over", "bounced"), RecordTrace.findLines(TRACE_LINES, "aa").stream().map(TraceLine::verb).toList());
+        assertEquals(List.of("taken", "shot", "over", "bounced"),
+                RecordTrace.findLines(TRACE_LINES, "aa").stream().map(TraceLine::verb).toList());
         assertNull(TraceLine.parse("1.371 2026 info n0 suspect: a trace is no line"));
         assertNull(TraceLine.parse("trace x n0 taken"));
         assertEquals("", TraceLine.parse("trace 5 n0 over 1").argument(4));
