--- a/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
@@ -52,7 +52,8 @@
     @Test
     void inconsistentFieldsAreReportedToo() {
         List<String> faults = readErrors(VALID_EXPERIMENT.replace("hall: west", "hall: moon")
-                .replace("target: 1s, abandon: 3s, inOrder", "target: 9s, abandon: 3s, inOrder").replace("count: 2}", "count: 2, limit: {rate: 2, count: 3}}"));
+                .replace("target: 1s, abandon: 3s, inOrder", "target: 9s, abandon: 3s, inOrder")
+                .replace("count: 2}", "count: 2, limit: {rate: 2, count: 3}}"));
         assertEquals(3, faults.size(), faults.toString());
         assertTrue(faults.get(0).contains("grades.1.target: target 9s is after abandon 3s"), faults.get(0));
     }
