--- a/src/main/java/terndyke/lab/referee/EventLog.java
+++ b/src/main/java/terndyke/lab/referee/EventLog.java
@@ -23,7 +23,7 @@
         return startMicros;
     }
 
-    /** Adds an event whose times are absolute (system clock, microseconds). */
+    /** Adds an event whose times are still by the machine's clock, not relative to the start of the run. */
     public void add(ObservedEvent sight) {
         ObservedEvent moved = new ObservedEvent(sight.at() - startMicros, sight.what(), sight.node(), sight.id(), sight.call(),
                 sight.uid(), sight.destination(), sight.hall(), sight.status(), sight.toldWait(),
--- a/src/main/java/terndyke/lab/referee/Referee.java
+++ b/src/main/java/terndyke/lab/referee/Referee.java
@@ -352,7 +352,7 @@
         long ended = story.deliveredAtMicros < 0 ? story.noticeAtMicros : story.noticeAtMicros < 0 ? story.deliveredAtMicros
                 : Math.min(story.deliveredAtMicros, story.noticeAtMicros);
         if (ended >= 0 && story.firstRefusedNoticeAtMicros >= 0) {
-            ended = Math.min(ended, story.firstRefusedNoticeAtMicros); // the platform refused it, the node sent it again
+            ended = Math.min(ended, story.firstRefusedNoticeAtMicros); // a notice counts from its first attempt
         }
         if ((ended < 0 || ended > limit) && limit < endMicros) {
             reportBreach(1, limit, story.handedInRecord.id(), ended < 0
