--- a/src/main/java/terndyke/lab/Lab.java
+++ b/src/main/java/terndyke/lab/Lab.java
@@ -87,29 +87,30 @@
 
         String experimentFile() throws UserInputException {
             if (arguments.size() != 1) {
-                throw new UserInputException("expected one experiment file, found " + arguments.size());
+                throw new UserInputException("expected one experiment file, found " + arguments.size() + " arguments");
             }
             return arguments.get(0);
         }
 
-        Experiment readExperiment(String file, List<String> more) throws UserInputException {
-            Map<String, String> other = new LinkedHashMap<>();
-            List<String> all = new ArrayList<>(overrides);
-            all.addAll(more);
-            for (String one : all) {
-                int equals = one.indexOf('=');
+        Experiment readExperiment(String file, List<String> additionalOverrides) throws UserInputException {
+            Map<String, String> overridesByField = new LinkedHashMap<>();
+            List<String> allOverrides = new ArrayList<>(overrides);
+            allOverrides.addAll(additionalOverrides);
+            for (String override : allOverrides) {
+                int equals = override.indexOf('=');
                 if (equals < 1) {
-                    throw new UserInputException("--set " + one + ": expected a field and its value, such as nodes.slots=12");
+                    throw new UserInputException("--set " + override
+                            + ": expected a field and its value, such as nodes.slots=12");
                 }
-                other.put(one.substring(0, equals), one.substring(equals + 1));
+                overridesByField.put(override.substring(0, equals), override.substring(equals + 1));
             }
             if (length != null) {
-                other.put("length", length);
+                overridesByField.put("length", length);
             }
             if (nodeCount != null) {
-                other.put("nodes.count", nodeCount.toString());
+                overridesByField.put("nodes.count", nodeCount.toString());
             }
-            return ExperimentFile.read(Path.of(file), other);
+            return ExperimentFile.read(Path.of(file), overridesByField);
         }
 
         Experiment readExperiment() throws UserInputException {
@@ -240,13 +241,13 @@
 
     /** Handles SIGINT and SIGTERM: the first stops the run and lets its report be written, the second exits immediately. */
     private void interrupt() {
-        ExperimentRun day = currentRun;
-        if (interrupted || day == null && !emulating) {
+        ExperimentRun run = currentRun;
+        if (interrupted || run == null && !emulating) {
             System.exit(EXIT_VOID);
         }
         interrupted = true;
-        if (day != null) {
-            day.interrupt();
+        if (run != null) {
+            run.interrupt();
         }
     }
 
@@ -321,25 +322,25 @@
 
     private record CompletedRun(int status, JsonNode summary) { }
 
-    private CompletedRun runExperiment(ExperimentOptions how, Experiment day, Path folder, PrintStream progress)
+    private CompletedRun runExperiment(ExperimentOptions options, Experiment experiment, Path folder, PrintStream progress)
             throws IOException, UserInputException, InterruptedException {
-        ExperimentRun one = new ExperimentRun(day, folder, how.nodeJar, how.standInFault, progress);
-        currentRun = one;
+        ExperimentRun run = new ExperimentRun(experiment, folder, options.nodeJar, options.standInFault, progress);
+        currentRun = run;
         if (interrupted) {
-            one.interrupt();
+            run.interrupt();
         }
-        ExperimentResult outcome = one.execute();
+        ExperimentResult result = run.execute();
         currentRun = null;
-        return new CompletedRun(outcome.status(), ReportWriter.write(outcome, folder, progress));
+        return new CompletedRun(result.status(), ReportWriter.write(result, folder, progress));
     }
 
-    private int run(RunOptions run) throws IOException, UserInputException, InterruptedException {
-        Experiment day = run.readExperiment();
-        day = run.seed == null ? day : day.withSeed(run.seed);
-        if (run.traceFile != null) {
-            TraceFile.write(Path.of(run.traceFile), ScheduleGenerator.generate(day));
+    private int run(RunOptions options) throws IOException, UserInputException, InterruptedException {
+        Experiment experiment = options.readExperiment();
+        experiment = options.seed == null ? experiment : experiment.withSeed(options.seed);
+        if (options.traceFile != null) {
+            TraceFile.write(Path.of(options.traceFile), ScheduleGenerator.generate(experiment));
         }
-        return runExperiment(run, day, run.resolveOutputFolder(day.name()), out).status;
+        return runExperiment(options, experiment, options.resolveOutputFolder(experiment.name()), out).status;
     }
 
     private static InetSocketAddress parseLoopbackAddress(String text) throws UserInputException {
@@ -355,66 +356,69 @@
         throw new UserInputException("--to " + text + ": only loopback addresses are allowed");
     }
 
-    private int load(LoadOptions load) throws UserInputException, InterruptedException {
-        InetSocketAddress to = parseLoopbackAddress(load.targetAddress);
-        Experiment day;
+    private int load(LoadOptions options) throws UserInputException, InterruptedException {
+        InetSocketAddress targetAddress = parseLoopbackAddress(options.targetAddress);
+        Experiment experiment;
         try {
-            day = ExperimentFile.read("the options", String.format(Locale.ROOT, "name: load%nabout: load%nseed: %d%nlength: "
+            experiment = ExperimentFile.read("the options",
+                    String.format(Locale.ROOT, "name: load%nabout: load%nseed: %d%nlength: "
                     + "%s%ngrades: [{name: '%s', effect: idempotent, target: 1s, abandon: 5s}]%ntenants: [{name: '%s'}]%n"
                     + "destinations: [{kind: any, count: %d}]%nload: {shape: %s, rate: %f, peak: %f, bytes: %d}%nlate: %s%n",
-                    load.seed, load.length, load.grade, load.tenant, load.destinationCount, load.shape, load.rate,
-                    load.peakRate == null ? load.rate : load.peakRate, load.bodyBytes, load.maxLateness));
+                    options.seed, options.length, options.grade, options.tenant, options.destinationCount, options.shape,
+                    options.rate, options.peakRate == null ? options.rate : options.peakRate, options.bodyBytes,
+                    options.maxLateness));
         } catch (UserInputException e) {
             throw new UserInputException(e.errors().stream()
                     .map(fault -> fault.replaceFirst("^the options:\\d+", "option")).toList());
         }
-        List<Arrival> arrivals = load.traceFile == null ? ScheduleGenerator.generate(day)
-                : TraceFile.read(Path.of(load.traceFile), day);
-        try (SocketReactor net = new SocketReactor("terndyke-lab-load", 1)) {
-            LoadGenerator tool = new LoadGenerator(net, to, load.maxConnections);
-            tool.openConnections(load.maxConnections);
-            LoadGenerator.Result run = tool.run(arrivals, 5_000_000);
+        List<Arrival> arrivals = options.traceFile == null ? ScheduleGenerator.generate(experiment)
+                : TraceFile.read(Path.of(options.traceFile), experiment);
+        try (SocketReactor reactor = new SocketReactor("terndyke-lab-load", 1)) {
+            LoadGenerator generator = new LoadGenerator(reactor, targetAddress, options.maxConnections);
+            generator.openConnections(options.maxConnections);
+            LoadGenerator.Result result = generator.run(arrivals, 5_000_000);
             out.printf("%d requests in %.1f s: %d answered, %d of them accepted, %d with a broken connection, %d unanswered%n",
-                    run.offered(), run.seconds(), run.answered(), run.accepted(), run.broken(), run.unanswered());
-            printPercentiles("from due", run.latencyFromDue());
-            printPercentiles("from sent", run.latencyFromSent());
-            printPercentiles("lateness of the load tool", run.lateness());
-            if (run.lateness().getValueAtPercentile(99) > day.late().micros()) {
-                out.printf("void: the load tool was late, %s allowed at p99%n", day.late());
+                    result.offered(), result.seconds(), result.answered(), result.accepted(), result.broken(),
+                    result.unanswered());
+            printPercentiles("from due", result.latencyFromDue());
+            printPercentiles("from sent", result.latencyFromSent());
+            printPercentiles("lateness of the load tool", result.lateness());
+            if (result.lateness().getValueAtPercentile(99) > experiment.late().micros()) {
+                out.printf("void: the load tool was late, %s allowed at p99%n", experiment.late());
                 return EXIT_VOID;
             }
             return EXIT_RULES_KEPT;
         }
     }
 
-    private void printPercentiles(String what, Histogram times) {
-        out.printf("%s: p50 %.3f ms, p90 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, max %.3f ms%n", what,
+    private void printPercentiles(String label, Histogram times) {
+        out.printf("%s: p50 %.3f ms, p90 %.3f ms, p99 %.3f ms, p99.9 %.3f ms, max %.3f ms%n", label,
                 times.getValueAtPercentile(50) / 1e3, times.getValueAtPercentile(90) / 1e3,
                 times.getValueAtPercentile(99) / 1e3, times.getValueAtPercentile(99.9) / 1e3, times.getMaxValue() / 1e3);
     }
 
-    private int emulate(EmulateOptions emulate) throws IOException, UserInputException, InterruptedException {
-        Experiment day = emulate.readExperiment();
+    private int emulate(EmulateOptions options) throws IOException, UserInputException, InterruptedException {
+        Experiment experiment = options.readExperiment();
         emulating = true;
-        Path folder = emulate.resolveOutputFolder(day.name() + "-emulated");
-        EventLog logbook = new EventLog();
-        logbook.setStartMicros(TaskScheduler.nowMicros());
+        Path folder = options.resolveOutputFolder(experiment.name() + "-emulated");
+        EventLog eventLog = new EventLog();
+        eventLog.setStartMicros(TaskScheduler.nowMicros());
         try (TaskScheduler answers = new TaskScheduler("terndyke-lab-answers");
                 TaskScheduler failures = new TaskScheduler("terndyke-lab-failures");
-                SocketReactor net = new SocketReactor("terndyke-lab-receivers", 4);
-                Emulator emulator = new Emulator(day, logbook, net, answers, true)) {
+                SocketReactor reactor = new SocketReactor("terndyke-lab-receivers", 4);
+                Emulator emulator = new Emulator(experiment, eventLog, reactor, answers, true)) {
             Files.createDirectories(folder);
-            for (int node = 0; node < day.nodes().count(); node++) {
+            for (int node = 0; node < experiment.nodes().count(); node++) {
                 Path file = folder.resolve("n" + node + ".json");
-                Files.writeString(file, NodeConfigurationWriter.toJson(day, node, emulator.agents().get(node)));
+                Files.writeString(file, NodeConfigurationWriter.toJson(experiment, node, emulator.agents().get(node)));
                 out.println("node " + node + ": serve --config " + file);
             }
             out.println(emulator.receiverCount() + " receivers are serving; failures are timed from now, interrupt to stop");
-            day.failures().forEach(failure -> {
+            experiment.failures().forEach(failure -> {
                 if (failure.kind().targetType() == Failure.TargetType.RECEIVER
                         || failure.kind().targetType() == Failure.TargetType.DISCOVERY) {
-                    failures.schedule(logbook.startMicros() + failure.at().micros(), () -> emulator.beginFailure(failure));
-                    failures.schedule(logbook.startMicros() + failure.endMicros(), () -> emulator.endFailure(failure));
+                    failures.schedule(eventLog.startMicros() + failure.at().micros(), () -> emulator.beginFailure(failure));
+                    failures.schedule(eventLog.startMicros() + failure.endMicros(), () -> emulator.endFailure(failure));
                 }
             });
             while (!interrupted) {
@@ -424,19 +428,19 @@
         return EXIT_RULES_KEPT;
     }
 
-    private int draw(DrawOptions draw) throws Exception {
-        Experiment base = draw.readExperiment();
-        Path folder = draw.resolveOutputFolder(base.name() + "-drawn");
+    private int draw(DrawOptions options) throws Exception {
+        Experiment base = options.readExperiment();
+        Path folder = options.resolveOutputFolder(base.name() + "-drawn");
         Files.createDirectories(folder);
-        for (long seed : parseSeeds(draw.seeds)) {
-            Experiment day = ExperimentGenerator.generate(base, seed);
-            Path file = folder.resolve(day.name() + ".yaml");
-            Files.writeString(file, ExperimentFile.toYaml(day));
+        for (long seed : parseSeeds(options.seeds)) {
+            Experiment experiment = ExperimentGenerator.generate(base, seed);
+            Path file = folder.resolve(experiment.name() + ".yaml");
+            Files.writeString(file, ExperimentFile.toYaml(experiment));
             out.println(file);
-            if (draw.runEach) {
-                CompletedRun played = runExperiment(draw, day, folder.resolve(day.name()), out);
-                if (played.status == 1) {
-                    return shrink(draw, day, folder, 1);
+            if (options.runEach) {
+                CompletedRun completedRun = runExperiment(options, experiment, folder.resolve(experiment.name()), out);
+                if (completedRun.status == 1) {
+                    return shrink(options, experiment, folder, 1);
                 }
                 if (interrupted) {
                     return EXIT_VOID;
@@ -446,128 +450,132 @@
         return EXIT_RULES_KEPT;
     }
 
-    private int shrink(ShrinkOptions shrink) throws Exception {
-        Experiment day = shrink.readExperiment();
-        return shrink(shrink, day, shrink.resolveOutputFolder(day.name() + "-shrunk"), shrink.tries);
+    private int shrink(ShrinkOptions options) throws Exception {
+        Experiment experiment = options.readExperiment();
+        return shrink(options, experiment, options.resolveOutputFolder(experiment.name() + "-shrunk"), options.tries);
     }
 
-    private int shrink(ExperimentOptions how, Experiment day, Path folder, int tries) throws Exception {
+    private int shrink(ExperimentOptions options, Experiment experiment, Path folder, int tries) throws Exception {
         Files.createDirectories(folder);
-        PrintStream quiet = new PrintStream(PrintStream.nullOutputStream());
-        ExperimentShrinker shrinker = new ExperimentShrinker(one -> !interrupted
-                && runExperiment(how, one, folder.resolve("try"), quiet).status == 1, tries, out::println);
-        Experiment least = shrinker.shrink(day);
-        if (least == null) {
+        PrintStream noOutput = new PrintStream(PrintStream.nullOutputStream());
+        ExperimentShrinker shrinker = new ExperimentShrinker(candidate -> !interrupted
+                && runExperiment(options, candidate, folder.resolve("try"), noOutput).status == 1, tries, out::println);
+        Experiment smallest = shrinker.shrink(experiment);
+        if (smallest == null) {
             out.println("no rule was broken, nothing to shrink");
             return interrupted ? EXIT_VOID : EXIT_RULES_KEPT;
         }
-        Path file = folder.resolve(day.name() + "-least.yaml");
-        Files.writeString(file, ExperimentFile.toYaml(least));
-        out.printf("%d of %d failures, length %s instead of %s, after %d runs: %s%n", least.failures().size(),
-                day.failures().size(), least.length(), day.length(), shrinker.runCount(), file);
+        Path file = folder.resolve(experiment.name() + "-least.yaml");
+        Files.writeString(file, ExperimentFile.toYaml(smallest));
+        out.printf("%d of %d failures, length %s instead of %s, after %d runs: %s%n", smallest.failures().size(),
+                experiment.failures().size(), smallest.length(), experiment.length(), shrinker.runCount(), file);
         return 1;
     }
 
-    private List<JsonNode> collectSummaries(ExperimentOptions how, String side, String experiment, List<Long> seeds, Path folder)
+    private List<JsonNode> collectSummaries(ExperimentOptions options, String side, String experimentFile, List<Long> seeds,
+            Path folder)
             throws IOException, UserInputException, InterruptedException {
         List<JsonNode> summaries = new ArrayList<>();
         if (Files.isDirectory(Path.of(side))) {
             try (Stream<Path> files = Files.walk(Path.of(side))) {
-                for (Path file : files.filter(one -> one.endsWith("summary.json")).sorted().toList()) {
+                for (Path file : files.filter(path -> path.endsWith("summary.json")).sorted().toList()) {
                     summaries.add(JSON.readTree(file.toFile()));
                 }
             }
             summaries.sort(java.util.Comparator.comparingLong(json -> json.path("seed").asLong()));
             return summaries;
         }
-        boolean jar = side.endsWith(".jar");
-        if (jar && experiment == null) {
+        boolean isJar = side.endsWith(".jar");
+        if (isJar && experimentFile == null) {
             throw new UserInputException("--experiment FILE is required to compare two builds");
         }
-        if (jar && !Files.exists(Path.of(side))) {
+        if (isJar && !Files.exists(Path.of(side))) {
             throw new UserInputException(side + ": no such file");
         }
-        String before = how.nodeJar;
-        how.nodeJar = jar ? side : before;
+        String previousJar = options.nodeJar;
+        options.nodeJar = isJar ? side : previousJar;
         for (long seed : seeds) {
-            Experiment day = how.readExperiment(jar ? experiment : side, List.of()).withSeed(seed);
-            CompletedRun played = runExperiment(how, day, folder.resolve(Long.toString(seed)), out);
-            if (played.status == EXIT_VOID) {
-                throw new IOException("the run with seed " + seed + " is void: " + played.summary.path("void").asText());
+            Experiment experiment = options.readExperiment(isJar ? experimentFile : side, List.of()).withSeed(seed);
+            CompletedRun completedRun = runExperiment(options, experiment, folder.resolve(Long.toString(seed)), out);
+            if (completedRun.status == EXIT_VOID) {
+                throw new IOException("the run with seed " + seed + " is void: " + completedRun.summary.path("void").asText());
             }
-            summaries.add(played.summary);
+            summaries.add(completedRun.summary);
         }
-        how.nodeJar = before;
+        options.nodeJar = previousJar;
         return summaries;
     }
 
-    private int compare(CompareOptions compare) throws IOException, UserInputException, InterruptedException {
-        if (compare.arguments.size() != 2) {
+    private int compare(CompareOptions options) throws IOException, UserInputException, InterruptedException {
+        if (options.arguments.size() != 2) {
             throw new UserInputException("expected two arguments to compare: jars, experiment files or folders of runs");
         }
-        Path folder = compare.resolveOutputFolder("compared");
-        List<Long> seeds = parseSeeds(compare.seeds);
-        List<JsonNode> a = collectSummaries(compare, compare.arguments.get(0), compare.experimentFile, seeds,
+        Path folder = options.resolveOutputFolder("compared");
+        List<Long> seeds = parseSeeds(options.seeds);
+        List<JsonNode> a = collectSummaries(options, options.arguments.get(0), options.experimentFile, seeds,
                 folder.resolve("a"));
-        List<JsonNode> b = collectSummaries(compare, compare.arguments.get(1), compare.experimentFile, seeds,
+        List<JsonNode> b = collectSummaries(options, options.arguments.get(1), options.experimentFile, seeds,
                 folder.resolve("b"));
         List<Long> seedsA = a.stream().map(json -> json.path("seed").asLong()).toList();
         if (a.isEmpty() || !seedsA.equals(b.stream().map(json -> json.path("seed").asLong()).toList())) {
             throw new UserInputException("the two sides do not have runs with the same seeds");
         }
-        StringBuilder words = new StringBuilder();
-        Comparison.of(a, b).forEach(one -> words.append(one.describe()).append(System.lineSeparator()));
-        long broken = Stream.concat(a.stream(), b.stream()).filter(json -> json.path("status").asInt() == 1).count();
-        words.append(broken).append(" of ").append(a.size() * 2).append(" runs broke a rule").append(System.lineSeparator());
-        out.print(words);
+        StringBuilder text = new StringBuilder();
+        Comparison.of(a, b).forEach(comparison -> text.append(comparison.describe()).append(System.lineSeparator()));
+        long brokenCount = Stream.concat(a.stream(), b.stream()).filter(json -> json.path("status").asInt() == 1).count();
+        text.append(brokenCount).append(" of ").append(a.size() * 2).append(" runs broke a rule").append(System.lineSeparator());
+        out.print(text);
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve("comparison.txt"), words);
-        return broken > 0 ? 1 : EXIT_RULES_KEPT;
+        Files.writeString(folder.resolve("comparison.txt"), text);
+        return brokenCount > 0 ? 1 : EXIT_RULES_KEPT;
     }
 
-    private int sweep(SweepOptions sweep) throws IOException, UserInputException, InterruptedException {
-        Path folder = sweep.resolveOutputFolder("swept");
-        List<String> values = List.of(sweep.values.split(","));
-        List<List<JsonNode>> all = new ArrayList<>();
-        boolean broken = false;
+    private int sweep(SweepOptions options) throws IOException, UserInputException, InterruptedException {
+        Path folder = options.resolveOutputFolder("swept");
+        List<String> values = List.of(options.values.split(","));
+        List<List<JsonNode>> summariesByValue = new ArrayList<>();
+        boolean ruleBroken = false;
         for (String value : values) { // checks all values before the first run
-            sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value));
+            options.readExperiment(options.experimentFile(), List.of(options.field + "=" + value));
         }
         for (String value : values) {
-            List<JsonNode> some = new ArrayList<>();
-            for (long seed : parseSeeds(sweep.seeds)) {
-                Experiment day = sweep.readExperiment(sweep.experimentFile(), List.of(sweep.field + "=" + value))
+            List<JsonNode> summaries = new ArrayList<>();
+            for (long seed : parseSeeds(options.seeds)) {
+                Experiment experiment = options.readExperiment(options.experimentFile(), List.of(options.field + "=" + value))
                         .withSeed(seed);
-                CompletedRun played = runExperiment(sweep, day,
+                CompletedRun completedRun = runExperiment(options, experiment,
                         folder.resolve(value.replaceAll("\\W", "_")).resolve(Long.toString(seed)), out);
-                broken |= played.status == 1;
+                ruleBroken |= completedRun.status == 1;
                 if (interrupted) {
                     return EXIT_VOID;
                 }
-                some.add(played.summary);
+                summaries.add(completedRun.summary);
             }
-            all.add(some);
+            summariesByValue.add(summaries);
         }
-        SweepPlot.write(folder.resolve("sweep.html"), sweep.field, values, List.of(sweep.metrics.split(",")), all, out);
+        SweepPlot.write(folder.resolve("sweep.html"), options.field, values, List.of(options.metrics.split(",")),
+                summariesByValue, out);
         out.println("plots: " + folder.resolve("sweep.html"));
-        return broken ? 1 : EXIT_RULES_KEPT;
+        return ruleBroken ? 1 : EXIT_RULES_KEPT;
     }
 
-    private int fleet(FleetOptions fleet) throws IOException, UserInputException {
+    private int fleet(FleetOptions options) throws IOException, UserInputException {
         List<TraceLine> lines = new ArrayList<>();
-        for (String logs : fleet.logs) {
+        for (String logs : options.logs) {
             lines.addAll(TraceLine.read(Path.of(logs)));
         }
         lines.sort(java.util.Comparator.comparingLong(TraceLine::atMicros));
-        if (fleet.recordId != null) {
-            List<TraceLine> story = RecordTrace.findLines(lines, fleet.recordId);
-            story.forEach(line -> out.printf(Locale.ROOT, "%10.3f %s %s %s%n", (line.atMicros() - lines.get(0).atMicros()) / 1e6,
+        if (options.recordId != null) {
+            List<TraceLine> recordLines = RecordTrace.findLines(lines, options.recordId);
+            recordLines.forEach(line -> out.printf(Locale.ROOT, "%10.3f %s %s %s%n",
+                    (line.atMicros() - lines.get(0).atMicros()) / 1e6,
                     line.node(), line.verb(), String.join(" ", line.arguments())));
-            return story.isEmpty() ? EXIT_BAD_INPUT : EXIT_RULES_KEPT;
+            return recordLines.isEmpty() ? EXIT_BAD_INPUT : EXIT_RULES_KEPT;
         }
-        FleetStatistics sums = FleetStatistics.of(lines, parseStepMicros(fleet.step));
-        out.print(sums.formatTable(null));
-        sums.destinations().stream().limit(fleet.maxDestinationTables).forEach(name -> out.print(sums.formatTable(name)));
+        FleetStatistics statistics = FleetStatistics.of(lines, parseStepMicros(options.step));
+        out.print(statistics.formatTable(null));
+        statistics.destinations().stream().limit(options.maxDestinationTables)
+                .forEach(name -> out.print(statistics.formatTable(name)));
         return EXIT_RULES_KEPT;
     }
 
@@ -583,11 +591,11 @@
         throw new UserInputException("--step " + text + ": must be longer than 0");
     }
 
-    private int list(ListOptions listing) throws IOException, UserInputException {
-        try (Stream<Path> files = Files.list(Path.of(listing.folder))) {
-            for (Path file : files.filter(one -> one.toString().endsWith(".yaml")).sorted().toList()) {
-                Experiment day = ExperimentFile.read(file);
-                out.printf("%-40s %s%n", file, day.about().strip());
+    private int list(ListOptions options) throws IOException, UserInputException {
+        try (Stream<Path> files = Files.list(Path.of(options.folder))) {
+            for (Path file : files.filter(path -> path.toString().endsWith(".yaml")).sorted().toList()) {
+                Experiment experiment = ExperimentFile.read(file);
+                out.printf("%-40s %s%n", file, experiment.about().strip());
             }
         }
         return EXIT_RULES_KEPT;
--- a/src/main/java/terndyke/lab/plan/Experiment.java
+++ b/src/main/java/terndyke/lab/plan/Experiment.java
@@ -56,8 +56,8 @@
 
         private final String settingsValue;
 
-        RepeatSemantics(String told) {
-            this.settingsValue = told;
+        RepeatSemantics(String settingsValue) {
+            this.settingsValue = settingsValue;
         }
 
         /** The value that a node's settings use for it. */
@@ -196,66 +196,66 @@
     }
 
     /** The same experiment with another seed. */
-    public Experiment withSeed(long other) {
-        return with(name, about, other, length, failures);
+    public Experiment withSeed(long otherSeed) {
+        return with(name, about, otherSeed, length, failures);
     }
 
     /** The same experiment with other failures. */
-    public Experiment withFailures(List<Failure> others) {
-        return with(name, about, seed, length, others);
+    public Experiment withFailures(List<Failure> otherFailures) {
+        return with(name, about, seed, length, otherFailures);
     }
 
     /** The same experiment with another length. Failures that would begin after its end remain listed but never happen. */
-    public Experiment withLength(TimeSpan other) {
-        return with(name, about, seed, other, failures);
+    public Experiment withLength(TimeSpan otherLength) {
+        return with(name, about, seed, otherLength, failures);
     }
 
-    Experiment with(String otherName, String otherAbout, long otherSeed, TimeSpan otherLength, List<Failure> others) {
+    Experiment with(String otherName, String otherAbout, long otherSeed, TimeSpan otherLength, List<Failure> otherFailures) {
         return new Experiment(otherName, otherAbout, otherSeed, otherLength, settle, late, nodes, grades, tenants, halls,
-                destinations, load, clients, list, others);
+                destinations, load, clients, list, otherFailures);
     }
 
     /** Inconsistencies that the schema cannot express: error messages by the field's path in the file; empty if none. */
     public Map<String, String> findInconsistencies() {
-        Map<String, String> found = new java.util.LinkedHashMap<>();
+        Map<String, String> errors = new java.util.LinkedHashMap<>();
         for (int i = 0; i < grades.size(); i++) {
             Grade grade = grades.get(i);
             if (grade.target.compareTo(grade.abandon) > 0) {
-                found.put("/grades/" + i + "/target", "target " + grade.target + " is after abandon " + grade.abandon);
+                errors.put("/grades/" + i + "/target", "target " + grade.target + " is after abandon " + grade.abandon);
             }
             if (grade.window.micros() == 0 && grade.effect == RepeatSemantics.DEDUPLICATED) {
-                found.put("/grades/" + i + "/window", "a deduplicated grade needs a window above 0s");
+                errors.put("/grades/" + i + "/window", "a deduplicated grade needs a window above 0s");
             }
         }
         for (int i = 0; i < destinations.size(); i++) {
             RateLimit limit = destinations.get(i).limit;
             if (limit != null && (limit.rate == null) == (limit.count == null)) {
-                found.put("/destinations/" + i + "/limit", "a limit needs either rate, or count with span");
+                errors.put("/destinations/" + i + "/limit", "a limit needs either rate, or count with span");
             } else if (limit != null && limit.count != null && limit.span == null) {
-                found.put("/destinations/" + i + "/limit", "count needs span");
+                errors.put("/destinations/" + i + "/limit", "count needs span");
             }
             ServiceTimeDistribution service = destinations.get(i).service;
             if (service.shape == ServiceTimeDistribution.Shape.SAMPLE && (service.sample == null || service.sample.isEmpty())) {
-                found.put("/destinations/" + i + "/service", "shape sample needs a non-empty sample");
+                errors.put("/destinations/" + i + "/service", "shape sample needs a non-empty sample");
             }
         }
         for (int i = 1; i < destinations.size(); i++) {
-            DestinationGroup one = destinations.get(i);
-            if (destinations.subList(0, i).stream().anyMatch(before -> before.kind.equals(one.kind)
-                    && !before.apart.equals(one.apart))) {
-                found.put("/destinations/" + i + "/apart", "apart differs between entries of kind " + one.kind);
+            DestinationGroup group = destinations.get(i);
+            if (destinations.subList(0, i).stream().anyMatch(other -> other.kind.equals(group.kind)
+                    && !other.apart.equals(group.apart))) {
+                errors.put("/destinations/" + i + "/apart", "the entries of kind " + group.kind + " differ in apart");
             }
         }
         for (int i = 0; i < failures.size(); i++) {
-            failures.get(i).findInconsistencies(this, "/failures/" + i, found);
+            failures.get(i).findInconsistencies(this, "/failures/" + i, errors);
         }
         if (load.trace == null && grades.stream().noneMatch(grade -> grade.share > 0)) {
-            found.put("/grades", "no grade has a share above 0");
+            errors.put("/grades", "no grade has a share above 0");
         }
-        return found;
+        return errors;
     }
 
-    static <T> T orDefault(T told, T absent) {
-        return told != null ? told : absent;
+    static <T> T orDefault(T value, T defaultValue) {
+        return value != null ? value : defaultValue;
     }
 }
--- a/src/main/java/terndyke/lab/plan/ExperimentFile.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentFile.java
@@ -45,9 +45,9 @@
     }
 
     /** Reads a file and overrides some of its fields, given by paths such as nodes.slots or failures.0.at. */
-    public static Experiment read(Path file, Map<String, String> set) throws UserInputException {
+    public static Experiment read(Path file, Map<String, String> overrides) throws UserInputException {
         try {
-            return read(file.toString(), Files.readString(file), set);
+            return read(file.toString(), Files.readString(file), overrides);
         } catch (IOException e) {
             throw new UserInputException(file + ": cannot read the file: " + e.getMessage());
         }
@@ -58,44 +58,44 @@
         return read(name, text, Map.of());
     }
 
-    private static Experiment read(String name, String text, Map<String, String> set) throws UserInputException {
-        Map<String, JsonLocation> places = new HashMap<>();
+    private static Experiment read(String name, String text, Map<String, String> overrides) throws UserInputException {
+        Map<String, JsonLocation> locations = new HashMap<>();
         JsonNode tree;
         try (JsonParser parser = YAML.getFactory().createParser(text)) {
             if (parser.nextToken() == null) {
                 throw new UserInputException(name + ": the file is empty");
             }
-            tree = parseTree(parser, "", places);
+            tree = parseTree(parser, "", locations);
         } catch (JsonProcessingException e) {
             throw new UserInputException(name + ":" + (e.getLocation() == null ? 0 : e.getLocation().getLineNr())
                     + ": invalid YAML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new UserInputException(name + ": " + e.getMessage());
         }
-        for (Map.Entry<String, String> one : set.entrySet()) {
-            setField(tree, one.getKey(), one.getValue());
+        for (Map.Entry<String, String> entry : overrides.entrySet()) {
+            setField(tree, entry.getKey(), entry.getValue());
         }
-        Map<Integer, List<String>> faults = new TreeMap<>();
+        Map<Integer, List<String>> errors = new TreeMap<>();
         for (Error error : VALIDATOR.validate(tree)) {
-            String at = error.getInstanceLocation().toString();
-            String field = error.getProperty() != null ? at + "/" + error.getProperty() : at;
-            addError(faults, name, places, field, describeError(error, tree.at(at)));
+            String instancePath = error.getInstanceLocation().toString();
+            String field = error.getProperty() != null ? instancePath + "/" + error.getProperty() : instancePath;
+            addError(errors, name, locations, field, describeError(error, tree.at(instancePath)));
         }
-        Experiment day = null;
-        if (faults.isEmpty()) {
+        Experiment experiment = null;
+        if (errors.isEmpty()) {
             try {
-                day = JSON.treeToValue(tree, Experiment.class);
-                for (Map.Entry<String, String> one : day.findInconsistencies().entrySet()) {
-                    addError(faults, name, places, one.getKey(), one.getValue());
+                experiment = JSON.treeToValue(tree, Experiment.class);
+                for (Map.Entry<String, String> entry : experiment.findInconsistencies().entrySet()) {
+                    addError(errors, name, locations, entry.getKey(), entry.getValue());
                 }
             } catch (JsonProcessingException | IllegalArgumentException e) {
-                addError(faults, name, places, "", e.getMessage());
+                addError(errors, name, locations, "", e.getMessage());
             }
         }
-        if (!faults.isEmpty()) {
-            throw new UserInputException(faults.values().stream().flatMap(List::stream).toList());
+        if (!errors.isEmpty()) {
+            throw new UserInputException(errors.values().stream().flatMap(List::stream).toList());
         }
-        return day;
+        return experiment;
     }
 
     /** The value of the named field; adds an empty object if the field is absent. */
@@ -105,16 +105,17 @@
 
     private static void setField(JsonNode tree, String path, String value) throws UserInputException {
         String[] parts = path.split("\\.");
-        JsonNode at = tree;
+        JsonNode node = tree;
         try {
-            JsonNode told = YAML.readTree(value);
+            JsonNode newValue = YAML.readTree(value);
             for (int i = 0; i < parts.length - 1; i++) {
-                at = at instanceof ObjectNode object ? getOrCreateObject(object, parts[i]) : at.path(Integer.parseInt(parts[i]));
+                node = node instanceof ObjectNode object ? getOrCreateObject(object, parts[i])
+                        : node.path(Integer.parseInt(parts[i]));
             }
-            if (at instanceof ObjectNode object) {
-                object.set(parts[parts.length - 1], told);
-            } else if (at instanceof ArrayNode array) {
-                array.set(Integer.parseInt(parts[parts.length - 1]), told);
+            if (node instanceof ObjectNode object) {
+                object.set(parts[parts.length - 1], newValue);
+            } else if (node instanceof ArrayNode array) {
+                array.set(Integer.parseInt(parts[parts.length - 1]), newValue);
             } else {
                 throw new UserInputException("--set " + path + ": no such field");
             }
@@ -123,9 +124,9 @@
         }
     }
 
-    public static String toYaml(Experiment day) {
+    public static String toYaml(Experiment experiment) {
         try {
-            return YAML.writeValueAsString(day);
+            return YAML.writeValueAsString(experiment);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
@@ -143,15 +144,15 @@
         }
     }
 
-    private static String describeError(Error error, JsonNode found) {
+    private static String describeError(Error error, JsonNode value) {
         return switch (error.getKeyword()) {
             case "additionalProperties", "unevaluatedProperties" -> "unknown field" + suggestNearestName(error);
             case "required" -> "is missing";
-            case "type" -> "found " + found.getNodeType().name().toLowerCase(java.util.Locale.ROOT) + " " + abbreviate(found)
+            case "type" -> "found " + value.getNodeType().name().toLowerCase(java.util.Locale.ROOT) + " " + abbreviate(value)
                     + ", allowed: " + error.getSchemaNode().asText();
-            case "enum" -> "found " + abbreviate(found) + ", allowed: " + abbreviate(error.getSchemaNode());
-            case "pattern" -> "found " + abbreviate(found) + ", allowed: a time such as 250ms, 1.5s or 2m";
-            default -> "found " + abbreviate(found) + ": " + error.getMessage();
+            case "enum" -> "found " + abbreviate(value) + ", allowed: " + abbreviate(error.getSchemaNode());
+            case "pattern" -> "found " + abbreviate(value) + ", allowed: a time such as 250ms, 1.5s or 2m";
+            default -> "found " + abbreviate(value) + ": " + error.getMessage();
         };
     }
 
@@ -160,9 +161,9 @@
         String best = null;
         int distance = 4;
         for (String name : knownFieldNames()) {
-            int far = editDistance(name, error.getProperty());
-            if (far < distance) {
-                distance = far;
+            int candidateDistance = editDistance(name, error.getProperty());
+            if (candidateDistance < distance) {
+                distance = candidateDistance;
                 best = name;
             }
         }
@@ -197,35 +198,35 @@
         return text.length() <= 60 ? text : text.substring(0, 60) + "...";
     }
 
-    private static void addError(Map<Integer, List<String>> faults, String name, Map<String, JsonLocation> places,
-            String field, String words) {
-        String at = field;
-        while (!places.containsKey(at) && at.contains("/")) {
-            at = at.substring(0, at.lastIndexOf('/'));
+    private static void addError(Map<Integer, List<String>> errors, String name, Map<String, JsonLocation> locations,
+            String field, String message) {
+        String ancestor = field;
+        while (!locations.containsKey(ancestor) && ancestor.contains("/")) {
+            ancestor = ancestor.substring(0, ancestor.lastIndexOf('/'));
         }
-        JsonLocation place = places.get(at);
-        int line = place == null ? 1 : place.getLineNr();
-        faults.computeIfAbsent(line, number -> new ArrayList<>()).add(name + ":" + line + ": "
-                + (field.isEmpty() ? "the file" : field.substring(1).replace('/', '.')) + ": " + words);
+        JsonLocation location = locations.get(ancestor);
+        int line = location == null ? 1 : location.getLineNr();
+        errors.computeIfAbsent(line, number -> new ArrayList<>()).add(name + ":" + line + ": "
+                + (field.isEmpty() ? "the file" : field.substring(1).replace('/', '.')) + ": " + message);
     }
 
-    private static JsonNode parseTree(JsonParser parser, String at, Map<String, JsonLocation> places) throws IOException {
-        places.putIfAbsent(at, parser.currentTokenLocation());
+    private static JsonNode parseTree(JsonParser parser, String path, Map<String, JsonLocation> locations) throws IOException {
+        locations.putIfAbsent(path, parser.currentTokenLocation());
         switch (parser.currentToken()) {
             case START_OBJECT -> {
                 ObjectNode object = JsonNodeFactory.instance.objectNode();
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
-                    places.put(at + "/" + name, parser.currentTokenLocation());
+                    locations.put(path + "/" + name, parser.currentTokenLocation());
                     parser.nextToken();
-                    object.set(name, parseTree(parser, at + "/" + name, places));
+                    object.set(name, parseTree(parser, path + "/" + name, locations));
                 }
                 return object;
             }
             case START_ARRAY -> {
                 ArrayNode array = JsonNodeFactory.instance.arrayNode();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(parseTree(parser, at + "/" + array.size(), places));
+                    array.add(parseTree(parser, path + "/" + array.size(), locations));
                 }
                 return array;
             }
--- a/src/main/java/terndyke/lab/plan/ExperimentGenerator.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentGenerator.java
@@ -22,35 +22,35 @@
 
     /** The base experiment with random failures, all drawn from the given seed. */
     public static Experiment generate(Experiment base, long seed) {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7919 + 11);
-        int count = 1 + chance.nextInt(MAX_FAILURES);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7919 + 11);
+        int count = 1 + random.nextInt(MAX_FAILURES);
         List<Failure> failures = new ArrayList<>();
-        long together = drawTimeMicros(base, chance); // on average half of the failures start at this time
+        long commonStart = drawTimeMicros(base, random); // on average half of the failures start at this time
         for (int i = 0; i < count; i++) {
-            Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
-            long at = chance.nextBoolean() ? together : drawTimeMicros(base, chance);
-            TimeSpan lasts = TimeSpan.ofMillis(500 + chance.nextInt((int) Math.max(1, base.length().millis() / 3)));
-            failures.add(new Failure(kind, new TimeSpan(at / 1000 * 1000), lasts, null, drawTarget(base, kind, chance)));
+            Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+            long start = random.nextBoolean() ? commonStart : drawTimeMicros(base, random);
+            TimeSpan duration = TimeSpan.ofMillis(500 + random.nextInt((int) Math.max(1, base.length().millis() / 3)));
+            failures.add(new Failure(kind, new TimeSpan(start / 1000 * 1000), duration, null, drawTarget(base, kind, random)));
         }
         failures.sort(Comparator.comparing(Failure::at));
         return base.with(base.name() + "-drawn-" + seed, "drawn from seed " + seed, seed, base.length(), failures);
     }
 
-    private static long drawTimeMicros(Experiment base, UniformRandomProvider chance) {
-        return Math.round(base.length().micros() * (0.1 + 0.6 * chance.nextDouble()));
+    private static long drawTimeMicros(Experiment base, UniformRandomProvider random) {
+        return Math.round(base.length().micros() * (0.1 + 0.6 * random.nextDouble()));
     }
 
-    private static Target drawTarget(Experiment base, Kind kind, UniformRandomProvider chance) {
+    private static Target drawTarget(Experiment base, Kind kind, UniformRandomProvider random) {
         if (kind.targetType() != TargetType.RECEIVER) {
-            return new Target(null, null, null, null, kind.targetType() == TargetType.NODE || chance.nextBoolean()
-                    ? List.of(chance.nextInt(base.nodes().count())) : null, null);
+            return new Target(null, null, null, null, kind.targetType() == TargetType.NODE || random.nextBoolean()
+                    ? List.of(random.nextInt(base.nodes().count())) : null, null);
         }
-        return switch (chance.nextInt(4)) {
-            case 0 -> new Target(base.halls().get(chance.nextInt(base.halls().size())), null, null, null, null, null);
-            case 1 -> new Target(null, base.destinations().get(chance.nextInt(base.destinations().size())).kind(), null, null,
+        return switch (random.nextInt(4)) {
+            case 0 -> new Target(base.halls().get(random.nextInt(base.halls().size())), null, null, null, null, null);
+            case 1 -> new Target(null, base.destinations().get(random.nextInt(base.destinations().size())).kind(), null, null,
                     null, null);
-            case 2 -> new Target(null, null, List.of(chance.nextInt(base.destinationCount())), null, null, null);
-            default -> new Target(null, null, null, null, null, 0.1 + Math.round(chance.nextDouble() * 8) / 10.0);
+            case 2 -> new Target(null, null, List.of(random.nextInt(base.destinationCount())), null, null, null);
+            default -> new Target(null, null, null, null, null, 0.1 + Math.round(random.nextDouble() * 8) / 10.0);
         };
     }
 }
--- a/src/main/java/terndyke/lab/plan/ExperimentShrinker.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentShrinker.java
@@ -19,27 +19,27 @@
 
     /** Runs an experiment and tells whether it fails. */
     public interface FailureCheck {
-        boolean test(Experiment day) throws Exception;
+        boolean test(Experiment experiment) throws Exception;
     }
 
     /**
      * @param tries the number of runs that all have to fail
-     * @param told receives a line of text for each successful reduction
+     * @param progressListener receives a line of text for each successful reduction
      */
-    public ExperimentShrinker(FailureCheck fails, int tries, Consumer<String> told) {
-        this.failureCheck = fails;
+    public ExperimentShrinker(FailureCheck failureCheck, int tries, Consumer<String> progressListener) {
+        this.failureCheck = failureCheck;
         this.tries = tries;
-        this.progressListener = told;
+        this.progressListener = progressListener;
     }
 
     public int runCount() {
         return runCount;
     }
 
-    private boolean failsInEveryTry(Experiment day) throws Exception {
+    private boolean failsInEveryTry(Experiment experiment) throws Exception {
         for (int i = 0; i < tries; i++) {
             runCount++;
-            if (!failureCheck.test(day)) {
+            if (!failureCheck.test(experiment)) {
                 return false;
             }
         }
@@ -47,67 +47,67 @@
     }
 
     /** The smallest failing experiment found; the given one if it cannot be reduced, null if it does not fail. */
-    public Experiment shrink(Experiment day) throws Exception {
-        if (!failsInEveryTry(day)) {
+    public Experiment shrink(Experiment experiment) throws Exception {
+        if (!failsInEveryTry(experiment)) {
             return null;
         }
-        Experiment least = removeFailures(day);
-        least = shortenExperiment(least);
-        return shortenFailures(least);
+        Experiment smallest = removeFailures(experiment);
+        smallest = shortenExperiment(smallest);
+        return shortenFailures(smallest);
     }
 
-    private Experiment removeFailures(Experiment day) throws Exception {
-        Experiment least = day;
-        for (int parts = 2; !least.failures().isEmpty();) {
-            List<Failure> all = least.failures();
+    private Experiment removeFailures(Experiment experiment) throws Exception {
+        Experiment smallest = experiment;
+        for (int parts = 2; !smallest.failures().isEmpty();) {
+            List<Failure> all = smallest.failures();
             int size = Math.max(1, (all.size() + parts - 1) / parts);
-            boolean went = false;
-            for (int from = 0; from < all.size() && !went; from += size) {
-                List<Failure> rest = new ArrayList<>(all.subList(0, from));
-                rest.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
-                Experiment smaller = least.withFailures(rest);
+            boolean removed = false;
+            for (int from = 0; from < all.size() && !removed; from += size) {
+                List<Failure> remaining = new ArrayList<>(all.subList(0, from));
+                remaining.addAll(all.subList(Math.min(all.size(), from + size), all.size()));
+                Experiment smaller = smallest.withFailures(remaining);
                 if (failsInEveryTry(smaller)) {
-                    progressListener.accept("still fails with " + rest.size() + " of " + all.size() + " failures");
-                    least = smaller;
-                    went = true;
+                    progressListener.accept("still fails with " + remaining.size() + " of " + all.size() + " failures");
+                    smallest = smaller;
+                    removed = true;
                 }
             }
-            if (!went && size == 1) {
-                return least;
+            if (!removed && size == 1) {
+                return smallest;
             }
-            parts = went ? Math.max(2, parts - 1) : Math.min(all.size(), parts * 2);
+            parts = removed ? Math.max(2, parts - 1) : Math.min(all.size(), parts * 2);
         }
-        return least;
+        return smallest;
     }
 
-    private Experiment shortenExperiment(Experiment day) throws Exception {
-        Experiment least = day;
-        while (least.length().micros() / 2 >= MIN_LENGTH_MICROS) {
-            Experiment half = least.withLength(new TimeSpan(least.length().micros() / 2 / 1000 * 1000));
+    private Experiment shortenExperiment(Experiment experiment) throws Exception {
+        Experiment smallest = experiment;
+        while (smallest.length().micros() / 2 >= MIN_LENGTH_MICROS) {
+            Experiment half = smallest.withLength(new TimeSpan(smallest.length().micros() / 2 / 1000 * 1000));
             if (!failsInEveryTry(half)) {
-                return least;
+                return smallest;
             }
             progressListener.accept("still fails with a length of " + half.length());
-            least = half;
+            smallest = half;
         }
-        return least;
+        return smallest;
     }
 
-    private Experiment shortenFailures(Experiment day) throws Exception {
-        Experiment least = day;
-        for (int i = 0; i < least.failures().size(); i++) {
-            while (least.failures().get(i).lasts().micros() / 2 >= 100_000) {
-                Failure failure = least.failures().get(i);
-                List<Failure> changed = new ArrayList<>(least.failures());
+    private Experiment shortenFailures(Experiment experiment) throws Exception {
+        Experiment smallest = experiment;
+        for (int i = 0; i < smallest.failures().size(); i++) {
+            while (smallest.failures().get(i).lasts().micros() / 2 >= 100_000) {
+                Failure failure = smallest.failures().get(i);
+                List<Failure> changed = new ArrayList<>(smallest.failures());
                 changed.set(i, new Failure(failure.kind(), failure.at(),
                         new TimeSpan(failure.lasts().micros() / 2 / 1000 * 1000), failure.amount(), failure.on()));
-                if (!failsInEveryTry(least.withFailures(changed))) {
+                if (!failsInEveryTry(smallest.withFailures(changed))) {
                     break;
                 }
-                least = least.withFailures(changed);
+                smallest = smallest.withFailures(changed);
                 progressListener.accept("still fails with " + failure.kind().yamlName() + " for " + changed.get(i).lasts());
             }
         }
-        return least;
+        return smallest;
     }
 }
--- a/src/main/java/terndyke/lab/plan/Failure.java
+++ b/src/main/java/terndyke/lab/plan/Failure.java
@@ -86,9 +86,9 @@
         private final TargetType targetType;
         private final double defaultAmount;
 
-        Kind(TargetType side, double amount) {
-            this.targetType = side;
-            this.defaultAmount = amount;
+        Kind(TargetType targetType, double defaultAmount) {
+            this.targetType = targetType;
+            this.defaultAmount = defaultAmount;
         }
 
         public TargetType targetType() {
@@ -121,28 +121,28 @@
         return on.nodes == null || on.nodes.contains(node);
     }
 
-    void findInconsistencies(Experiment day, String place, Map<String, String> found) {
-        if (on.hall != null && !day.halls().contains(on.hall)) {
-            found.put(place + "/on/hall", "unknown hall " + on.hall + ", the halls are " + day.halls());
+    void findInconsistencies(Experiment experiment, String path, Map<String, String> errors) {
+        if (on.hall != null && !experiment.halls().contains(on.hall)) {
+            errors.put(path + "/on/hall", "unknown hall " + on.hall + ", the halls are " + experiment.halls());
         }
-        if (on.kind != null && day.destinations().stream().noneMatch(some -> some.kind().equals(on.kind))) {
-            found.put(place + "/on/kind", "no destination is of kind " + on.kind);
+        if (on.kind != null && experiment.destinations().stream().noneMatch(group -> group.kind().equals(on.kind))) {
+            errors.put(path + "/on/kind", "no destination is of kind " + on.kind);
         }
         for (int number : on.destinations == null ? List.<Integer>of() : on.destinations) {
-            if (number >= day.destinationCount()) {
-                found.put(place + "/on/destinations", "destinations are numbered 0 to " + (day.destinationCount() - 1)
+            if (number >= experiment.destinationCount()) {
+                errors.put(path + "/on/destinations", "destinations are numbered 0 to " + (experiment.destinationCount() - 1)
                         + ", found " + number);
             }
         }
         for (int number : on.nodes == null ? List.<Integer>of() : on.nodes) {
-            if (number >= day.nodes().count()) {
-                found.put(place + "/on/nodes", "nodes are numbered 0 to " + (day.nodes().count() - 1) + ", found "
+            if (number >= experiment.nodes().count()) {
+                errors.put(path + "/on/nodes", "nodes are numbered 0 to " + (experiment.nodes().count() - 1) + ", found "
                         + number);
             }
         }
-        boolean ofReceivers = on.hall != null || on.kind != null || on.destinations != null || on.receivers != null;
-        if (ofReceivers && kind.targetType != TargetType.RECEIVER) {
-            found.put(place + "/on", kind.yamlName() + " does not affect receivers; only nodes can be selected");
+        boolean selectsReceivers = on.hall != null || on.kind != null || on.destinations != null || on.receivers != null;
+        if (selectsReceivers && kind.targetType != TargetType.RECEIVER) {
+            errors.put(path + "/on", kind.yamlName() + " does not affect receivers; only nodes can be selected");
         }
     }
 }
--- a/src/main/java/terndyke/lab/plan/UserInputException.java
+++ b/src/main/java/terndyke/lab/plan/UserInputException.java
@@ -8,13 +8,13 @@
 
     private final transient List<String> errors;
 
-    public UserInputException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.errors = List.copyOf(faults);
+    public UserInputException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 
-    public UserInputException(String fault) {
-        this(List.of(fault));
+    public UserInputException(String error) {
+        this(List.of(error));
     }
 
     public List<String> errors() {
--- a/src/main/java/terndyke/lab/referee/EventLog.java
+++ b/src/main/java/terndyke/lab/referee/EventLog.java
@@ -24,18 +24,18 @@
     }
 
     /** Adds an event whose times are still by the machine's clock, not relative to the start of the run. */
-    public void add(ObservedEvent sight) {
-        ObservedEvent moved = new ObservedEvent(sight.at() - startMicros, sight.what(), sight.node(), sight.id(), sight.call(),
-                sight.uid(), sight.destination(), sight.hall(), sight.status(), sight.toldWait(),
-                sight.began() == 0 ? 0 : sight.began() - startMicros, sight.note(), relativeToStart(sight.handed()));
+    public void add(ObservedEvent event) {
+        ObservedEvent relativeEvent = new ObservedEvent(event.at() - startMicros, event.what(), event.node(), event.id(),
+                event.call(), event.uid(), event.destination(), event.hall(), event.status(), event.toldWait(),
+                event.began() == 0 ? 0 : event.began() - startMicros, event.note(), relativeToStart(event.handed()));
         synchronized (events) {
-            events.add(moved);
-            boolean taken = sight.what() == EventType.ANSWERED && (sight.status() == 202 || sight.status() == 200);
-            if (sight.what() == EventType.NOTICE || sight.what() == EventType.CALL_ANSWERED && sight.status() == 200) {
-                endedIds.add(sight.id());
-                pendingIds.remove(sight.id());
-            } else if (taken && !endedIds.contains(sight.id())) {
-                pendingIds.add(sight.id());
+            events.add(relativeEvent);
+            boolean accepted = event.what() == EventType.ANSWERED && (event.status() == 202 || event.status() == 200);
+            if (event.what() == EventType.NOTICE || event.what() == EventType.CALL_ANSWERED && event.status() == 200) {
+                endedIds.add(event.id());
+                pendingIds.remove(event.id());
+            } else if (accepted && !endedIds.contains(event.id())) {
+                pendingIds.add(event.id());
             }
         }
     }
@@ -47,10 +47,12 @@
         }
     }
 
-    private HandedInRecord relativeToStart(HandedInRecord told) {
-        return told == null ? null : new HandedInRecord(told.id(), told.message(), told.node(), told.grade(), told.tenant(),
-                told.key(), told.destination(), told.mark(), told.due() - startMicros, told.sent() - startMicros, told.timeout(),
-                told.bytes(), told.extra());
+    private HandedInRecord relativeToStart(HandedInRecord handedIn) {
+        return handedIn == null ? null
+                : new HandedInRecord(handedIn.id(), handedIn.message(), handedIn.node(), handedIn.grade(), handedIn.tenant(),
+                handedIn.key(), handedIn.destination(), handedIn.mark(), handedIn.due() - startMicros,
+                handedIn.sent() - startMicros, handedIn.timeout(),
+                handedIn.bytes(), handedIn.extra());
     }
 
     /** All events by time; events with the same time keep the order in which they were added. */
--- a/src/main/java/terndyke/lab/referee/RecordHistory.java
+++ b/src/main/java/terndyke/lab/referee/RecordHistory.java
@@ -26,8 +26,8 @@
         int responseStatus;
         long endedAtMicros = -1;
 
-        ObservedCall(ObservedEvent sight) {
-            this.event = sight;
+        ObservedCall(ObservedEvent event) {
+            this.event = event;
         }
 
         /** Whether the node can know at that time that this call was never executed, because its status says so. */
@@ -37,13 +37,13 @@
         }
 
         /** Whether the call is still in progress: neither answered nor ended with its connection. */
-        boolean isOut() {
+        boolean isInProgress() {
             return respondedAtMicros < 0 && endedAtMicros < 0;
         }
     }
 
-    RecordHistory(HandedInRecord handed) {
-        this.handedInRecord = handed;
+    RecordHistory(HandedInRecord handedInRecord) {
+        this.handedInRecord = handedInRecord;
     }
 
     public HandedInRecord handedInRecord() {
@@ -60,7 +60,7 @@
     }
 
     /** Whether the record has ended: delivered, reported in a notice, refused, or abandoned by its client before acceptance. */
-    boolean isOver() {
+    boolean hasEnded() {
         return deliveredAtMicros >= 0 || noticeAtMicros >= 0 || isRefused() || clientLeftAtMicros >= 0 && !isAccepted();
     }
 
@@ -95,7 +95,7 @@
         lines.add(String.format("record %s (message %d), grade %d, key %s, destination %d, due %.3f s, deadline %.3f s",
                 handedInRecord.id(), handedInRecord.message(), handedInRecord.grade(), handedInRecord.key(),
                 handedInRecord.destination(), handedInRecord.due() / 1e6, deadlineMicros() / 1e6));
-        events.forEach(sight -> lines.add(sight.toString()));
+        events.forEach(event -> lines.add(event.toString()));
         return lines;
     }
 }
--- a/src/main/java/terndyke/lab/referee/RuleParameters.java
+++ b/src/main/java/terndyke/lab/referee/RuleParameters.java
@@ -14,15 +14,15 @@
             long deduplicationWindowMicros, boolean inOrder) { }
 
     /** The parameters for judging a run of the given experiment. */
-    public static RuleParameters of(Experiment day) {
-        List<Boolean> apart = new java.util.ArrayList<>();
-        day.destinations().forEach(some -> {
-            for (int i = 0; i < some.count(); i++) {
-                apart.add(some.apart());
+    public static RuleParameters of(Experiment experiment) {
+        List<Boolean> independentRoutes = new java.util.ArrayList<>();
+        experiment.destinations().forEach(group -> {
+            for (int i = 0; i < group.count(); i++) {
+                independentRoutes.add(group.apart());
             }
         });
-        return new RuleParameters(day.grades().stream().map(grade -> new Grade(grade.effect(), grade.everywhere(),
-                grade.window().micros(), grade.inOrder())).toList(), day.nodes().copies(), 2_000_000, 2_000_000, 100_000,
-                apart, 50_000, 300_000, 1_500_000, 100_000, 6_000_000);
+        return new RuleParameters(experiment.grades().stream().map(grade -> new Grade(grade.effect(), grade.everywhere(),
+                grade.window().micros(), grade.inOrder())).toList(), experiment.nodes().copies(), 2_000_000, 2_000_000, 100_000,
+                independentRoutes, 50_000, 300_000, 1_500_000, 100_000, 6_000_000);
     }
 }
--- a/src/main/java/terndyke/lab/report/Comparison.java
+++ b/src/main/java/terndyke/lab/report/Comparison.java
@@ -25,12 +25,12 @@
         return mean(valuesB);
     }
 
-    private static double mean(double[] figures) {
-        return DoubleStatistics.of(java.util.EnumSet.of(Statistic.MEAN), figures).getAsDouble(Statistic.MEAN);
+    private static double mean(double[] values) {
+        return DoubleStatistics.of(java.util.EnumSet.of(Statistic.MEAN), values).getAsDouble(Statistic.MEAN);
     }
 
-    static double standardDeviation(double[] figures) {
-        return figures.length < 2 ? 0 : DoubleStatistics.of(java.util.EnumSet.of(Statistic.STANDARD_DEVIATION), figures)
+    static double standardDeviation(double[] values) {
+        return values.length < 2 ? 0 : DoubleStatistics.of(java.util.EnumSet.of(Statistic.STANDARD_DEVIATION), values)
                 .getAsDouble(Statistic.STANDARD_DEVIATION);
     }
 
@@ -72,20 +72,21 @@
                 + "(p %.3f by means%s, %d pairs)", metric, meanA(), standardDeviation(valuesA), meanB(),
                 standardDeviation(valuesB), mean(differences), standardDeviation(differences),
                 valuesA.length < 3 ? "too few pairs to tell" : isSignificant() ? "more than noise" : "no more than noise",
-                pValue(), valuesA.length < 5 ? "" : String.format(Locale.ROOT, ", %.3f by ranks", rankTestPValue()), valuesA.length);
+                pValue(), valuesA.length < 5 ? ""
+                : String.format(Locale.ROOT, ", %.3f by ranks", rankTestPValue()), valuesA.length);
     }
 
     /** Compares the summaries of two sets of runs by their main metrics; both lists must be in the same order of seeds. */
     public static List<Comparison> of(List<com.fasterxml.jackson.databind.JsonNode> a,
             List<com.fasterxml.jackson.databind.JsonNode> b) {
-        List<Comparison> all = new ArrayList<>();
+        List<Comparison> comparisons = new ArrayList<>();
         for (String pointer : List.of("/goodput", "/messages/done", "/messages/doneInTarget", "/messages/bounced",
                 "/messages/terminated", "/latencyMs/acceptedFromDue/p99", "/latencyMs/deliveredFromDue/p50",
                 "/latencyMs/deliveredFromDue/p99", "/calls/came")) {
-            all.add(new Comparison(pointer.substring(1).replace('/', '.'),
+            comparisons.add(new Comparison(pointer.substring(1).replace('/', '.'),
                     a.stream().mapToDouble(json -> json.at(pointer).asDouble()).toArray(),
                     b.stream().mapToDouble(json -> json.at(pointer).asDouble()).toArray()));
         }
-        return all;
+        return comparisons;
     }
 }
--- a/src/main/java/terndyke/lab/report/Plots.java
+++ b/src/main/java/terndyke/lab/report/Plots.java
@@ -32,10 +32,10 @@
     private final int seconds;
     private int lineCount;
 
-    Plots(ExperimentResult outcome, Summary summary) {
-        this.experimentResult = outcome;
+    Plots(ExperimentResult experimentResult, Summary summary) {
+        this.experimentResult = experimentResult;
         this.summary = summary;
-        seconds = Math.max(1, (int) Math.ceil(outcome.seconds()));
+        seconds = Math.max(1, (int) Math.ceil(experimentResult.seconds()));
     }
 
     /** The chart as a PNG image in a data URI, so that the page needs no other files. */
@@ -78,14 +78,14 @@
         }
     }
 
-    private static double maxValue(double[]... all) {
-        double most = 1;
-        for (double[] some : all) {
-            for (double one : some) {
-                most = Math.max(most, one);
+    private static double maxValue(double[]... series) {
+        double max = 1;
+        for (double[] values : series) {
+            for (double value : values) {
+                max = Math.max(max, value);
             }
         }
-        return most;
+        return max;
     }
 
     List<XYChart> createAll() {
@@ -107,9 +107,9 @@
     }
 
     private void countInSecond(double[] counts, long micros) {
-        int at = (int) (micros / 1_000_000);
-        if (at >= 0 && at < counts.length) {
-            counts[at]++;
+        int second = (int) (micros / 1_000_000);
+        if (second >= 0 && second < counts.length) {
+            counts[second]++;
         }
     }
 
@@ -118,13 +118,13 @@
         double[] done = new double[seconds];
         double[] bounced = new double[seconds];
         double[] terminated = new double[seconds];
-        for (Map.Entry<Integer, HandedInRecord> one : summary.recordsByMessage().entrySet()) {
-            countInSecond(offered, one.getValue().due());
+        for (Map.Entry<Integer, HandedInRecord> entry : summary.recordsByMessage().entrySet()) {
+            countInSecond(offered, entry.getValue().due());
         }
         summary.deliveredAtMicrosByMessage().values().forEach(at -> countInSecond(done, at));
-        experimentResult.histories().stream().filter(story -> story.noticeAtMicros() >= 0)
-                .forEach(story -> countInSecond("bounced".equals(story.noticeResult()) ? bounced : terminated,
-                        story.noticeAtMicros()));
+        experimentResult.histories().stream().filter(history -> history.noticeAtMicros() >= 0)
+                .forEach(history -> countInSecond("bounced".equals(history.noticeResult()) ? bounced : terminated,
+                        history.noticeAtMicros()));
         XYChart chart = createChart("Records per second", "s", "records/s");
         shadeFailures(chart, maxValue(offered, done));
         addLine(chart, "offered", secondsAxis(), offered);
@@ -136,23 +136,23 @@
 
     /** Percentiles of the time from due to delivered, by the second in which the records were due. */
     private XYChart createLatencyChart() {
-        List<Histogram> each = new ArrayList<>();
+        List<Histogram> histograms = new ArrayList<>();
         for (int i = 0; i < seconds; i++) {
-            each.add(new Histogram(1, 600_000_000L, 3));
+            histograms.add(new Histogram(1, 600_000_000L, 3));
         }
         summary.deliveredAtMicrosByMessage().forEach((message, at) -> {
             long due = summary.recordsByMessage().get(message).due();
             int second = (int) (due / 1_000_000);
             if (second >= 0 && second < seconds) {
-                each.get(second).recordValue(Math.max(1, at - due));
+                histograms.get(second).recordValue(Math.max(1, at - due));
             }
         });
         XYChart chart = createChart("Time from due to delivered, by the second it was due", "s", "ms");
         double[][] y = new double[3][seconds];
         for (int i = 0; i < seconds; i++) {
-            y[0][i] = each.get(i).getValueAtPercentile(50) / 1e3;
-            y[1][i] = each.get(i).getValueAtPercentile(99) / 1e3;
-            y[2][i] = each.get(i).getMaxValue() / 1e3;
+            y[0][i] = histograms.get(i).getValueAtPercentile(50) / 1e3;
+            y[1][i] = histograms.get(i).getValueAtPercentile(99) / 1e3;
+            y[2][i] = histograms.get(i).getMaxValue() / 1e3;
         }
         shadeFailures(chart, maxValue(y[2]));
         addLine(chart, "p50", secondsAxis(), y[0]);
@@ -190,20 +190,20 @@
     }
 
     private XYChart createNodeChart(String title, String unit,
-            java.util.function.Function<ResourceSampler.Sample, double[]> what) {
+            java.util.function.Function<ResourceSampler.Sample, double[]> metric) {
         XYChart chart = createChart(title, "s", unit);
         List<ResourceSampler.Sample> samples = experimentResult.samples();
         double[] x = samples.stream().mapToDouble(ResourceSampler.Sample::atSeconds).toArray();
         List<double[]> lines = new ArrayList<>();
         for (int node = 0; node < experimentResult.experiment().nodes().count() && !samples.isEmpty(); node++) {
-            int number = node;
-            lines.add(samples.stream().mapToDouble(sample -> what.apply(sample)[number]).toArray());
+            int nodeNumber = node;
+            lines.add(samples.stream().mapToDouble(sample -> metric.apply(sample)[nodeNumber]).toArray());
         }
         if (!lines.isEmpty()) {
             double top = 0;
             for (double[] line : lines) {
-                for (double one : line) {
-                    top = Math.max(top, one);
+                for (double value : line) {
+                    top = Math.max(top, value);
                 }
             }
             shadeFailures(chart, Math.max(top, 1e-3));
--- a/src/main/java/terndyke/lab/report/Summary.java
+++ b/src/main/java/terndyke/lab/report/Summary.java
@@ -47,25 +47,25 @@
     private final Histogram deliveredFromDue = new Histogram(1, MAX_LATENCY_MICROS, 3);
     private final Histogram deliveredFromSent = new Histogram(1, MAX_LATENCY_MICROS, 3);
 
-    public Summary(ExperimentResult outcome) {
-        this.experimentResult = outcome;
-        experiment = outcome.experiment();
-        for (RecordHistory story : outcome.histories()) {
-            HandedInRecord handed = story.handedInRecord();
+    public Summary(ExperimentResult experimentResult) {
+        this.experimentResult = experimentResult;
+        experiment = experimentResult.experiment();
+        for (RecordHistory history : experimentResult.histories()) {
+            HandedInRecord handed = history.handedInRecord();
             if (handed.extra()) {
                 continue;
             }
             recordsByMessage.putIfAbsent(handed.message(), handed);
-            if (!story.isAccepted()) {
+            if (!history.isAccepted()) {
                 continue;
             }
             acceptedMessages.add(handed.message());
-            if (story.deliveredAtMicros() >= 0) {
-                deliveredAtMicrosByMessage.merge(handed.message(), story.deliveredAtMicros(), Math::min);
-                deliveredFromDue.recordValue(clampLatency(story.deliveredAtMicros() - handed.due()));
-                deliveredFromSent.recordValue(clampLatency(story.deliveredAtMicros() - handed.sent()));
-            } else if (story.noticeResult() != null) {
-                noticeResultsByMessage.put(handed.message(), story.noticeResult());
+            if (history.deliveredAtMicros() >= 0) {
+                deliveredAtMicrosByMessage.merge(handed.message(), history.deliveredAtMicros(), Math::min);
+                deliveredFromDue.recordValue(clampLatency(history.deliveredAtMicros() - handed.due()));
+                deliveredFromSent.recordValue(clampLatency(history.deliveredAtMicros() - handed.sent()));
+            } else if (history.noticeResult() != null) {
+                noticeResultsByMessage.put(handed.message(), history.noticeResult());
             }
         }
     }
@@ -87,11 +87,11 @@
     }
 
     /** The payoff of a record delivered the given time (microseconds) after it was due, as a share of its grade's worth. */
-    static double payoffShare(Grade grade, long after) {
-        if (after <= grade.target().micros()) {
+    static double payoffShare(Grade grade, long delayMicros) {
+        if (delayMicros <= grade.target().micros()) {
             return 1;
         }
-        double late = (after - grade.target().micros()) / Math.max(1.0, grade.abandon().micros() - grade.target().micros());
+        double late = (delayMicros - grade.target().micros()) / Math.max(1.0, grade.abandon().micros() - grade.target().micros());
         return late > 1 ? 0 : 1 - (1 - grade.lateWorth()) * late;
     }
 
@@ -100,18 +100,18 @@
         return goodput(-1);
     }
 
-    private double goodput(int only) {
+    private double goodput(int onlyGrade) {
         double offered = 0;
-        double got = 0;
-        for (Map.Entry<Integer, HandedInRecord> one : recordsByMessage.entrySet()) {
-            Grade grade = experiment.grades().get(one.getValue().grade());
-            if (only < 0 || only == one.getValue().grade()) {
+        double delivered = 0;
+        for (Map.Entry<Integer, HandedInRecord> entry : recordsByMessage.entrySet()) {
+            Grade grade = experiment.grades().get(entry.getValue().grade());
+            if (onlyGrade < 0 || onlyGrade == entry.getValue().grade()) {
                 offered += grade.worth();
-                Long at = deliveredAtMicrosByMessage.get(one.getKey());
-                got += at == null ? 0 : grade.worth() * payoffShare(grade, at - one.getValue().due());
+                Long deliveredAt = deliveredAtMicrosByMessage.get(entry.getKey());
+                delivered += deliveredAt == null ? 0 : grade.worth() * payoffShare(grade, deliveredAt - entry.getValue().due());
             }
         }
-        return offered > 0 ? got / offered : experimentResult.offeredCount() == 0 || only >= 0 ? 1 : 0;
+        return offered > 0 ? delivered / offered : experimentResult.offeredCount() == 0 || onlyGrade >= 0 ? 1 : 0;
     }
 
     /** The content of summary.json. */
@@ -123,18 +123,19 @@
         json.put("nodes", experiment.nodes().count()).put("receivers", experimentResult.receiverCount())
                 .put("offered", experimentResult.offeredCount()).put("goodput", round(goodput()));
         int inTarget = 0;
-        for (Map.Entry<Integer, Long> one : deliveredAtMicrosByMessage.entrySet()) {
-            HandedInRecord handed = recordsByMessage.get(one.getKey());
-            inTarget += one.getValue() - handed.due() <= experiment.grades().get(handed.grade()).target().micros() ? 1 : 0;
+        for (Map.Entry<Integer, Long> entry : deliveredAtMicrosByMessage.entrySet()) {
+            HandedInRecord handed = recordsByMessage.get(entry.getKey());
+            inTarget += entry.getValue() - handed.due() <= experiment.grades().get(handed.grade()).target().micros() ? 1 : 0;
         }
-        Map<String, Integer> ends = new TreeMap<>();
-        noticeResultsByMessage.values().forEach(result -> ends.merge(result, 1, Integer::sum));
-        int[] doors = experimentResult.handInCounts();
-        json.putObject("messages").put("handedIn", doors[0]).put("taken", acceptedMessages.size())
+        Map<String, Integer> endCounts = new TreeMap<>();
+        noticeResultsByMessage.values().forEach(result -> endCounts.merge(result, 1, Integer::sum));
+        int[] handInCounts = experimentResult.handInCounts();
+        json.putObject("messages").put("handedIn", handInCounts[0]).put("taken", acceptedMessages.size())
                 .put("done", deliveredAtMicrosByMessage.size())
-                .put("doneInTarget", inTarget).put("bounced", ends.getOrDefault("bounced", 0))
-                .put("terminated", ends.getOrDefault("dead", 0)).put("refusedForGood", doors[2]).put("failedAtDoor", doors[3])
-                .put("unanswered", doors[4]);
+                .put("doneInTarget", inTarget).put("bounced", endCounts.getOrDefault("bounced", 0))
+                .put("terminated", endCounts.getOrDefault("dead", 0)).put("refusedForGood", handInCounts[2])
+                .put("failedAtDoor", handInCounts[3])
+                .put("unanswered", handInCounts[4]);
         addBreachCounts(json.putObject("rules"));
         ArrayNode breaches = json.putArray("breaches");
         experimentResult.breaches().stream().limit(50).forEach(breach -> breaches.addObject().put("rule", breach.rule())
@@ -171,10 +172,10 @@
 
     private void addCallCounts(ObjectNode json) {
         Map<String, Integer> counts = new LinkedHashMap<>();
-        for (ObservedEvent sight : experimentResult.events()) {
-            String name = switch (sight.what()) {
+        for (ObservedEvent event : experimentResult.events()) {
+            String name = switch (event.what()) {
                 case CALL -> "came";
-                case CALL_ANSWERED -> "answered" + sight.status();
+                case CALL_ANSWERED -> "answered" + event.status();
                 case CALL_ENDED -> "cutShort";
                 case RAN -> "ran";
                 case DROPPED -> "droppedAsRepeats";
@@ -191,12 +192,12 @@
     /** Counts, by grade, the records whose calls went to more than one hall. */
     private void addHallCrossings(ObjectNode json) {
         Map<String, Set<Integer>> halls = new HashMap<>();
-        experimentResult.events().stream().filter(sight -> sight.what() == EventType.CALL).forEach(sight -> halls
-                .computeIfAbsent(sight.id(), id -> new HashSet<>()).add(sight.hall()));
+        experimentResult.events().stream().filter(event -> event.what() == EventType.CALL).forEach(event -> halls
+                .computeIfAbsent(event.id(), id -> new HashSet<>()).add(event.hall()));
         int[] crossed = new int[experiment.grades().size()];
-        for (RecordHistory story : experimentResult.histories()) {
-            crossed[story.handedInRecord().grade()] +=
-                    halls.getOrDefault(story.handedInRecord().id(), Set.of()).size() > 1 ? 1 : 0;
+        for (RecordHistory history : experimentResult.histories()) {
+            crossed[history.handedInRecord().grade()] +=
+                    halls.getOrDefault(history.handedInRecord().id(), Set.of()).size() > 1 ? 1 : 0;
         }
         for (int i = 0; i < crossed.length; i++) {
             json.put(experiment.grades().get(i).name(), crossed[i]);
@@ -221,17 +222,18 @@
     /** For each node and draining receiver, the time from the node's notification of the drain to its last new shot there. */
     private Histogram drainToLastShotTimes() {
         Histogram histogram = new Histogram(1, MAX_LATENCY_MICROS, 3);
-        Map<String, Long> since = new HashMap<>();
-        Map<String, Long> last = new HashMap<>();
-        for (ObservedEvent sight : experimentResult.events()) {
-            String whom = sight.node() + "/" + sight.uid();
-            if (sight.what() == EventType.TOLD && sight.status() == 2) {
-                since.putIfAbsent(whom, sight.at());
-            } else if (sight.what() == EventType.CALL && since.containsKey(whom)) {
-                last.put(whom, Math.max(1, sight.began() - since.get(whom)));
+        Map<String, Long> notifiedAtMicros = new HashMap<>();
+        Map<String, Long> lastShotDelays = new HashMap<>();
+        for (ObservedEvent event : experimentResult.events()) {
+            String nodeAndReceiver = event.node() + "/" + event.uid();
+            if (event.what() == EventType.TOLD && event.status() == 2) {
+                notifiedAtMicros.putIfAbsent(nodeAndReceiver, event.at());
+            } else if (event.what() == EventType.CALL && notifiedAtMicros.containsKey(nodeAndReceiver)) {
+                lastShotDelays.put(nodeAndReceiver, Math.max(1, event.began() - notifiedAtMicros.get(nodeAndReceiver)));
             }
         }
-        since.keySet().forEach(whom -> histogram.recordValue(clampLatency(last.getOrDefault(whom, 1L))));
+        notifiedAtMicros.keySet().forEach(nodeAndReceiver -> histogram.recordValue(
+                clampLatency(lastShotDelays.getOrDefault(nodeAndReceiver, 1L))));
         return histogram;
     }
 
@@ -247,8 +249,8 @@
         return json;
     }
 
-    private static double round(double figure) {
-        return Math.round(figure * 1e3) / 1e3;
+    private static double round(double value) {
+        return Math.round(value * 1e3) / 1e3;
     }
 
     /** The summary as text for the console. */
@@ -261,9 +263,9 @@
                 messages.path("doneInTarget").asInt(), messages.path("bounced").asInt(),
                 messages.path("terminated").asInt(), messages.path("refusedForGood").asInt(),
                 messages.path("unanswered").asInt()));
-        for (String which : List.of("acceptedFromDue", "deliveredFromDue")) {
-            JsonNode latency = json.path("latencyMs").path(which);
-            lines.add(String.format("%s: p50 %.1f ms, p99 %.1f ms, max %.1f ms", which, latency.path("p50").asDouble(),
+        for (String key : List.of("acceptedFromDue", "deliveredFromDue")) {
+            JsonNode latency = json.path("latencyMs").path(key);
+            lines.add(String.format("%s: p50 %.1f ms, p99 %.1f ms, max %.1f ms", key, latency.path("p50").asDouble(),
                     latency.path("p99").asDouble(), latency.path("max").asDouble()));
         }
         if (!json.path("void").isNull()) {
--- a/src/main/java/terndyke/lab/run/ExperimentResult.java
+++ b/src/main/java/terndyke/lab/run/ExperimentResult.java
@@ -19,8 +19,8 @@
         int receiverCount, double seconds) {
 
     /** The same result, marked void for the given reason. */
-    ExperimentResult voidedBecause(String why) {
-        return new ExperimentResult(experiment, build, why, breaches, events, histories, offeredCount, handInCounts,
+    ExperimentResult voidedBecause(String reason) {
+        return new ExperimentResult(experiment, build, reason, breaches, events, histories, offeredCount, handInCounts,
                 acceptedFromDue, acceptedFromSent, toolLateness, samples, receiverCount, seconds);
     }
 
--- a/src/main/java/terndyke/lab/run/ExperimentRun.java
+++ b/src/main/java/terndyke/lab/run/ExperimentRun.java
@@ -67,16 +67,17 @@
     private int activeFailureCount;
 
     /**
-     * @param jar the jar to run as a node; null for the program that this laboratory belongs to
-     * @param standIn the fault of the stand-ins that replace the nodes; null for real nodes
+     * @param nodeJar the jar to run as a node; null for the program that this laboratory belongs to
+     * @param standInFault the fault of the stand-ins that replace the nodes; null for real nodes
      */
-    public ExperimentRun(Experiment day, Path folder, String jar, StandInNode.Fault standIn, PrintStream progress) {
-        this.experiment = day;
+    public ExperimentRun(Experiment experiment, Path folder, String nodeJar, StandInNode.Fault standInFault,
+            PrintStream progress) {
+        this.experiment = experiment;
         this.folder = folder;
-        this.nodeJar = jar;
-        this.standInFault = standIn;
+        this.nodeJar = nodeJar;
+        this.standInFault = standInFault;
         this.progress = progress;
-        nodeLocks = new Object[day.nodes().count()];
+        nodeLocks = new Object[experiment.nodes().count()];
         java.util.Arrays.setAll(nodeLocks, i -> new Object());
     }
 
@@ -90,26 +91,27 @@
     public ExperimentResult execute() throws IOException, UserInputException, InterruptedException {
         List<Arrival> arrivals = createArrivals();
         Files.createDirectories(folder);
-        try (TaskScheduler ticker = new TaskScheduler("terndyke-lab-answers");
-                TaskScheduler clientTicker = new TaskScheduler("terndyke-lab-clients");
-                TaskScheduler failureTicker = new TaskScheduler("terndyke-lab-failures");
-                SocketReactor receiving = new SocketReactor("terndyke-lab-receivers", 2);
-                SocketReactor calling = new SocketReactor("terndyke-lab-clients", 2);
-                Emulator emulator = new Emulator(experiment, eventLog, receiving, ticker, true)) {
-            FileTime built = nodeProgramModifiedTime();
-            ExperimentResult outcome = execute(arrivals, clientTicker, failureTicker, receiving, calling, emulator);
-            if (!Objects.equals(built, nodeProgramModifiedTime())) { // a JVM fails unpredictably if its jar is replaced
-                return outcome.voidedBecause("the node's program was replaced while the day was played");
+        try (TaskScheduler answerScheduler = new TaskScheduler("terndyke-lab-answers");
+                TaskScheduler clientScheduler = new TaskScheduler("terndyke-lab-clients");
+                TaskScheduler failureScheduler = new TaskScheduler("terndyke-lab-failures");
+                SocketReactor receiverReactor = new SocketReactor("terndyke-lab-receivers", 2);
+                SocketReactor clientReactor = new SocketReactor("terndyke-lab-clients", 2);
+                Emulator emulator = new Emulator(experiment, eventLog, receiverReactor, answerScheduler, true)) {
+            FileTime modifiedBefore = nodeProgramModifiedTime();
+            ExperimentResult result = execute(arrivals, clientScheduler, failureScheduler, receiverReactor, clientReactor,
+                    emulator);
+            if (!Objects.equals(modifiedBefore, nodeProgramModifiedTime())) { // a JVM fails unpredictably if its jar is replaced
+                return result.voidedBecause("the node's program was replaced while the day was played");
             }
-            for (TaskScheduler each : List.of(ticker, clientTicker, failureTicker)) {
-                if (each.firstFailure() != null) {
-                    StringWriter trace = new StringWriter();
-                    each.firstFailure().printStackTrace(new PrintWriter(trace));
-                    Files.writeString(folder.resolve("laboratory-failure.txt"), trace.toString());
-                    return outcome.voidedBecause("the laboratory itself failed: " + each.firstFailure().getMessage());
+            for (TaskScheduler scheduler : List.of(answerScheduler, clientScheduler, failureScheduler)) {
+                if (scheduler.firstFailure() != null) {
+                    StringWriter stackTrace = new StringWriter();
+                    scheduler.firstFailure().printStackTrace(new PrintWriter(stackTrace));
+                    Files.writeString(folder.resolve("laboratory-failure.txt"), stackTrace.toString());
+                    return result.voidedBecause("the laboratory itself failed: " + scheduler.firstFailure().getMessage());
                 }
             }
-            return outcome;
+            return result;
         } finally {
             nodes.forEach(NodeUnderTest::destroy);
         }
@@ -124,9 +126,9 @@
     private List<Arrival> createArrivals() throws UserInputException {
         List<Arrival> arrivals = new ArrayList<>(experiment.load().trace() == null ? ScheduleGenerator.generate(experiment)
                 : TraceFile.read(Path.of(experiment.load().trace()), experiment));
-        int offered = arrivals.size();
+        int offeredCount = arrivals.size();
         arrivals.removeIf(arrival -> arrival.due() >= experiment.length().micros());
-        if (arrivals.isEmpty() && offered > 0) {
+        if (arrivals.isEmpty() && offeredCount > 0) {
             throw new UserInputException("the trace has no record due within the length of " + experiment.length());
         }
         return arrivals;
@@ -134,58 +136,61 @@
 
     private record ScheduledArrival(Arrival arrival, boolean extra) { }
 
-    private ExperimentResult execute(List<Arrival> arrivals, TaskScheduler clientTicker, TaskScheduler failureTicker,
-            SocketReactor receiving, SocketReactor calling, Emulator emulator) throws IOException, InterruptedException {
-        long began = TaskScheduler.nowMicros();
+    private ExperimentResult execute(List<Arrival> arrivals, TaskScheduler clientScheduler, TaskScheduler failureScheduler,
+            SocketReactor receiverReactor, SocketReactor clientReactor, Emulator emulator)
+            throws IOException, InterruptedException {
+        long beganMicros = TaskScheduler.nowMicros();
         progress.printf("%s, seed %d: %d nodes, %d receivers, %d records in %s%n", experiment.name(), experiment.seed(),
                 experiment.nodes().count(), emulator.receiverCount(), arrivals.size(), experiment.length());
-        startNodes(emulator, receiving);
-        String voided = null;
-        for (int node = 0; node < nodes.size() && voided == null; node++) {
+        startNodes(emulator, receiverReactor);
+        String voidReason = null;
+        for (int node = 0; node < nodes.size() && voidReason == null; node++) {
             if (!nodes.get(node).awaitReady(READY_TIMEOUT_MILLIS)) {
-                voided = "node " + node + " did not serve within " + READY_TIMEOUT_MILLIS / 1000 + " s: " + lastLogLines(node);
+                voidReason = "node " + node + " did not serve within " + READY_TIMEOUT_MILLIS / 1000 + " s: "
+                        + lastLogLines(node);
             } else {
                 logEvent(EventType.NODE_READY, node, null);
                 if (sendsHangup() && nodes.get(node) instanceof NodeProcess process && process.ignoresHangup()) {
-                    voided = "SIGHUP is ignored here (nohup?), so no node hears that its configuration changed";
+                    voidReason = "SIGHUP is ignored here (nohup?), so no node hears that its configuration changed";
                 }
             }
         }
         List<InetSocketAddress> addresses = nodes.stream().map(NodeUnderTest::listenAddress).toList();
-        clients = new EmulatedClients(experiment, calling, clientTicker, eventLog, addresses);
+        clients = new EmulatedClients(experiment, clientReactor, clientScheduler, eventLog, addresses);
         ResourceSampler sampler = new ResourceSampler(nodes, emulator);
-        if (voided == null) {
+        if (voidReason == null) {
             eventLog.setStartMicros(TaskScheduler.nowMicros() + 200_000);
             long start = eventLog.startMicros();
-            MisbehavingClients intruders = new MisbehavingClients(calling, clientTicker, addresses,
+            MisbehavingClients misbehavingClients = new MisbehavingClients(clientReactor, clientScheduler, addresses,
                     experiment.grades().get(0).name(), experiment.seed());
-            List<ScheduledArrival> items = createScheduledArrivals(arrivals);
+            List<ScheduledArrival> scheduledArrivals = createScheduledArrivals(arrivals);
             experiment.failures().stream().filter(failure -> failure.at().compareTo(experiment.length()) < 0)
-                    .forEach(failure -> scheduleFailure(failure, start, failureTicker, emulator, intruders));
-            failureTicker.schedule(start, new SamplingTask(sampler, failureTicker, start));
-            int ran = pacer.run(items.size(), i -> (start + items.get(i).arrival.due()) * 1000,
-                    i -> clients.recordDue(i, items.get(i).arrival, start + items.get(i).arrival.due(), items.get(i).extra));
+                    .forEach(failure -> scheduleFailure(failure, start, failureScheduler, emulator, misbehavingClients));
+            failureScheduler.schedule(start, new SamplingTask(sampler, failureScheduler, start));
+            int startedCount = pacer.run(scheduledArrivals.size(), i -> (start + scheduledArrivals.get(i).arrival.due()) * 1000,
+                    i -> clients.recordDue(i, scheduledArrivals.get(i).arrival,
+                            start + scheduledArrivals.get(i).arrival.due(), scheduledArrivals.get(i).extra));
             awaitRecordsEnded(start);
-            if (ran < items.size() || interruptLatch.getCount() == 0) {
-                voided = "interrupted";
+            if (startedCount < scheduledArrivals.size() || interruptLatch.getCount() == 0) {
+                voidReason = "interrupted";
             }
         }
         stopping = true;
         double seconds = (TaskScheduler.nowMicros() - eventLog.startMicros()) / 1e6;
         stopNodes();
-        if (voided == null && pacer.lateness().getValueAtPercentile(99) > experiment.late().micros()) {
-            voided = String.format("the tool itself was late: 99%% within %.1f ms, %.1f ms at most, %s allowed",
+        if (voidReason == null && pacer.lateness().getValueAtPercentile(99) > experiment.late().micros()) {
+            voidReason = String.format("the tool itself was late: 99%% within %.1f ms, %.1f ms at most, %s allowed",
                     pacer.lateness().getValueAtPercentile(99) / 1e3, pacer.lateness().getMaxValue() / 1e3, experiment.late());
         }
-        List<ObservedEvent> sights = eventLog.sortedEvents();
+        List<ObservedEvent> events = eventLog.sortedEvents();
         Referee referee = new Referee(RuleParameters.of(experiment), TaskScheduler.nowMicros() - eventLog.startMicros());
-        List<Breach> breaches = voided != null && clients.handInCounts()[0] == 0 ? List.of() : referee.judge(sights);
-        if ("interrupted".equals(voided)) {
+        List<Breach> breaches = voidReason != null && clients.handInCounts()[0] == 0 ? List.of() : referee.judge(events);
+        if ("interrupted".equals(voidReason)) {
             breaches = breaches.stream().filter(breach -> breach.rule() != 1).toList(); // their records could not end any more
         }
-        progress.printf("finished after %.1f s%n", (TaskScheduler.nowMicros() - began) / 1e6);
+        progress.printf("finished after %.1f s%n", (TaskScheduler.nowMicros() - beganMicros) / 1e6);
         return new ExperimentResult(experiment, standInFault != null ? "stand-in " + standInFault
-                : nodeJar == null ? "this build" : nodeJar, voided, breaches, sights, List.copyOf(referee.histories()),
+                : nodeJar == null ? "this build" : nodeJar, voidReason, breaches, events, List.copyOf(referee.histories()),
                 arrivals.size(), clients.handInCounts(), clients.latencyFromDue(), clients.latencyFromSent(), pacer.lateness(),
                 sampler.samples(), emulator.receiverCount(), seconds);
     }
@@ -196,10 +201,10 @@
         private final long startMicros;
         private long sampleCount;
 
-        SamplingTask(ResourceSampler sampler, TaskScheduler ticker, long start) {
+        SamplingTask(ResourceSampler sampler, TaskScheduler scheduler, long startMicros) {
             this.sampler = sampler;
-            this.scheduler = ticker;
-            this.startMicros = start;
+            this.scheduler = scheduler;
+            this.startMicros = startMicros;
         }
 
         @Override
@@ -210,45 +215,48 @@
             sampler.takeSample(startMicros);
             sampleCount++;
             if (sampleCount % 6 == 0) {
-                int[] doors = clients.handInCounts();
+                int[] handInCounts = clients.handInCounts();
                 progress.printf("%6.1f s  %d handed in, %d accepted, %d in progress%n",
-                        (TaskScheduler.nowMicros() - startMicros) / 1e6, doors[0], doors[1], clients.openRecordCount());
+                        (TaskScheduler.nowMicros() - startMicros) / 1e6, handInCounts[0], handInCounts[1],
+                        clients.openRecordCount());
             }
             scheduler.schedule(startMicros + sampleCount * SAMPLE_INTERVAL_MICROS, this);
         }
     }
 
     private List<ScheduledArrival> createScheduledArrivals(List<Arrival> arrivals) {
-        List<ScheduledArrival> items = new ArrayList<>();
-        arrivals.forEach(arrival -> items.add(new ScheduledArrival(arrival, false)));
-        String grade = experiment.grades().stream().filter(one -> one.effect() == RepeatSemantics.IDEMPOTENT && !one.inOrder())
+        List<ScheduledArrival> scheduledArrivals = new ArrayList<>();
+        arrivals.forEach(arrival -> scheduledArrivals.add(new ScheduledArrival(arrival, false)));
+        String grade = experiment.grades().stream()
+                .filter(candidate -> candidate.effect() == RepeatSemantics.IDEMPOTENT && !candidate.inOrder())
                 .findFirst().orElse(experiment.grades().get(0)).name();
         for (Failure failure : experiment.failures()) {
             if (failure.kind() == Kind.FLOOD) {
                 MisbehavingClients.floodArrivals(failure, grade, experiment.tenants().get(0).name(),
                         experiment.destinationCount()).stream().filter(arrival -> arrival.due() < experiment.length().micros())
-                        .forEach(arrival -> items.add(new ScheduledArrival(arrival, true)));
+                        .forEach(arrival -> scheduledArrivals.add(new ScheduledArrival(arrival, true)));
             }
         }
-        items.sort(Comparator.comparingLong(item -> item.arrival.due()));
-        return items;
+        scheduledArrivals.sort(Comparator.comparingLong(item -> item.arrival.due()));
+        return scheduledArrivals;
     }
 
-    private void startNodes(Emulator emulator, SocketReactor net) throws IOException {
+    private void startNodes(Emulator emulator, SocketReactor reactor) throws IOException {
         for (int node = 0; node < experiment.nodes().count(); node++) {
-            int number = node;
+            int nodeNumber = node;
             DiscoveryAgent agent = emulator.agents().get(node);
             if (standInFault != null) {
-                nodes.add(new StandInNode(SocketReactor.findFreeAddress("127.0.0.1"), net,
+                nodes.add(new StandInNode(SocketReactor.findFreeAddress("127.0.0.1"), reactor,
                         NodeConfigurationWriter.toJson(experiment, node, experiment.seed(),
                                 new InetSocketAddress("127.0.0.1", 1), agent.address(), agent.fullListJson()), standInFault));
             } else {
-                Path own = folder.resolve("n" + node);
-                Files.createDirectories(own);
+                Path nodeFolder = folder.resolve("n" + node);
+                Files.createDirectories(nodeFolder);
                 InetSocketAddress listen = SocketReactor.findFreeAddress("127.0." + (10 + node) + ".3");
-                nodes.add(new NodeProcess(own, listen, NodeProcess.chooseLaunchArguments(nodeJar),
-                        () -> NodeConfigurationWriter.toJson(experiment, number, experiment.seed() * 1000 + number, listen,
-                                agent.address(), agent.fullListJson()), experiment.nodes().diskMb()));
+                nodes.add(new NodeProcess(nodeFolder, listen, NodeProcess.chooseLaunchArguments(nodeJar),
+                        () -> NodeConfigurationWriter.toJson(experiment, nodeNumber,
+                                experiment.seed() * 1000 + nodeNumber, listen, agent.address(), agent.fullListJson()),
+                        experiment.nodes().diskMb()));
             }
             logEvent(EventType.NODE_STARTS, node, null);
             nodes.get(node).start();
@@ -256,7 +264,7 @@
     }
 
     private boolean sendsHangup() {
-        return experiment.failures().stream().anyMatch(one -> one.kind() == Kind.HANGUP || one.kind() == Kind.RELOAD);
+        return experiment.failures().stream().anyMatch(failure -> failure.kind() == Kind.HANGUP || failure.kind() == Kind.RELOAD);
     }
 
     private String lastLogLines(int node) {
@@ -271,18 +279,18 @@
         activeFailureCount += change;
     }
 
-    private void scheduleFailure(Failure failure, long start, TaskScheduler ticker, Emulator emulator,
-            MisbehavingClients intruders) {
+    private void scheduleFailure(Failure failure, long start, TaskScheduler scheduler, Emulator emulator,
+            MisbehavingClients misbehavingClients) {
         changeActiveFailureCount(1);
-        ticker.schedule(start + failure.at().micros(), () -> {
+        scheduler.schedule(start + failure.at().micros(), () -> {
             progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(), failure.lasts());
             if (failure.kind().targetType() == TargetType.NODE) {
                 for (int node = 0; node < nodes.size(); node++) {
                     if (failure.affectsNode(node)) {
-                        int number = node;
+                        int nodeNumber = node;
                         changeActiveFailureCount(1);
                         Thread thread = new Thread(() -> {
-                            applyNodeFailure(failure, number, emulator.agents().get(number));
+                            applyNodeFailure(failure, nodeNumber, emulator.agents().get(nodeNumber));
                             changeActiveFailureCount(-1);
                         }, "terndyke-lab-signals");
                         thread.setDaemon(true);
@@ -290,26 +298,26 @@
                     }
                 }
             } else if (failure.kind().targetType() == TargetType.CLIENT) {
-                intruders.beginFailure(failure, start + failure.endMicros());
+                misbehavingClients.beginFailure(failure, start + failure.endMicros());
                 if (failure.kind() == Kind.FOREIGN_IDS) {
-                    clients.setForeignRequestShare(intruders, failure.amount());
+                    clients.setForeignRequestShare(misbehavingClients, failure.amount());
                 }
             } else {
                 emulator.beginFailure(failure);
             }
         });
-        ticker.schedule(start + failure.endMicros(), () -> {
+        scheduler.schedule(start + failure.endMicros(), () -> {
             if (failure.kind().targetType() == TargetType.RECEIVER || failure.kind().targetType() == TargetType.DISCOVERY) {
                 emulator.endFailure(failure);
             } else if (failure.kind() == Kind.FOREIGN_IDS) {
-                clients.setForeignRequestShare(intruders, 0);
+                clients.setForeignRequestShare(misbehavingClients, 0);
             }
             changeActiveFailureCount(-1);
         });
     }
 
     private void applyNodeFailure(Failure failure, int node, DiscoveryAgent agent) {
-        NodeUnderTest subject = nodes.get(node);
+        NodeUnderTest nodeUnderTest = nodes.get(node);
         try {
             synchronized (nodeLocks[node]) {
                 if (stopping) {
@@ -318,47 +326,47 @@
                 switch (failure.kind()) {
                     case KILL -> {
                         logEvent(EventType.NODE_KILLED, node, null);
-                        subject.sendSignal("KILL");
-                        subject.awaitExit(5_000);
+                        nodeUnderTest.sendSignal("KILL");
+                        nodeUnderTest.awaitExit(5_000);
                         restartNode(node, failure.lasts().millis());
                     }
                     case RESTART -> {
                         logEvent(EventType.NODE_TERM, node, null);
-                        subject.sendSignal("TERM");
-                        boolean ended = subject.awaitExit(DEREGISTRATION_DELAY_MILLIS);
+                        nodeUnderTest.sendSignal("TERM");
+                        boolean exited = nodeUnderTest.awaitExit(DEREGISTRATION_DELAY_MILLIS);
                         clients.setNodeUnavailable(node, true); // the front end is notified of a planned restart
-                        if (!ended && !subject.awaitExit(TERM_GRACE_PERIOD_MILLIS - DEREGISTRATION_DELAY_MILLIS)) {
+                        if (!exited && !nodeUnderTest.awaitExit(TERM_GRACE_PERIOD_MILLIS - DEREGISTRATION_DELAY_MILLIS)) {
                             logEvent(EventType.NODE_KILLED, node, "did not end after SIGTERM");
-                            subject.sendSignal("KILL");
-                            subject.awaitExit(5_000);
+                            nodeUnderTest.sendSignal("KILL");
+                            nodeUnderTest.awaitExit(5_000);
                         }
                         restartNode(node, RESTART_DOWNTIME_MILLIS);
                     }
                     case HANGUP -> {
                         for (int i = 0; i < failure.amount(); i++) {
-                            subject.sendSignal("HUP");
+                            nodeUnderTest.sendSignal("HUP");
                         }
                     }
                     case RELOAD -> {
                         int times = Math.max(1, (int) Math.round(failure.amount()));
                         for (int i = 0; i < times && !stopping; i++) {
                             agent.moveToNewAddress();
-                            subject.writeConfiguration();
-                            subject.sendSignal("HUP");
+                            nodeUnderTest.writeConfiguration();
+                            nodeUnderTest.sendSignal("HUP");
                             Thread.sleep(failure.lasts().millis() / times);
                         }
                     }
                     case FREEZE -> {
                         logEvent(EventType.NODE_FROZEN, node, null);
-                        subject.sendSignal("STOP");
+                        nodeUnderTest.sendSignal("STOP");
                         Thread.sleep(failure.lasts().millis());
-                        subject.sendSignal("CONT");
+                        nodeUnderTest.sendSignal("CONT");
                         logEvent(EventType.NODE_THAWED, node, null);
                     }
                     case DISK_FULL -> {
-                        subject.setDiskFull(true);
+                        nodeUnderTest.setDiskFull(true);
                         Thread.sleep(failure.lasts().millis());
-                        subject.setDiskFull(false);
+                        nodeUnderTest.setDiskFull(false);
                     }
                     default -> { }
                 }
@@ -372,7 +380,7 @@
 
     /** Restarts a node after its process has exited; the clients' front end notices the outage only after a delay. */
     private void restartNode(int node, long downMillis) throws IOException, InterruptedException {
-        NodeUnderTest subject = nodes.get(node);
+        NodeUnderTest nodeUnderTest = nodes.get(node);
         logEvent(EventType.NODE_ENDED, node, null);
         Thread.sleep(Math.min(downMillis, OUTAGE_DETECTION_DELAY_MICROS / 1000));
         clients.setNodeUnavailable(node, true);
@@ -381,8 +389,8 @@
             return;
         }
         logEvent(EventType.NODE_STARTS, node, null);
-        subject.start();
-        if (subject.awaitReady(READY_TIMEOUT_MILLIS)) {
+        nodeUnderTest.start();
+        if (nodeUnderTest.awaitReady(READY_TIMEOUT_MILLIS)) {
             logEvent(EventType.NODE_READY, node, null);
             clients.setNodeUnavailable(node, false);
         } else {
@@ -392,9 +400,10 @@
 
     /** Waits until every record has ended, or until the last deadline has passed. */
     private void awaitRecordsEnded(long start) throws InterruptedException {
-        long longest = experiment.grades().stream().mapToLong(grade -> grade.abandon().micros()).max().orElse(0);
-        long last = start + experiment.length().micros() + longest + DEADLINE_TOLERANCE_MICROS + experiment.settle().micros();
-        while (TaskScheduler.nowMicros() < last && interruptLatch.getCount() > 0) {
+        long longestAbandonTime = experiment.grades().stream().mapToLong(grade -> grade.abandon().micros()).max().orElse(0);
+        long latestEnd = start + experiment.length().micros() + longestAbandonTime + DEADLINE_TOLERANCE_MICROS
+                + experiment.settle().micros();
+        while (TaskScheduler.nowMicros() < latestEnd && interruptLatch.getCount() > 0) {
             if (TaskScheduler.nowMicros() > start + experiment.length().micros() && clients.openRecordCount() == 0
                     && hasNoActiveFailure() && eventLog.hasNoPendingRecords()) {
                 interruptLatch.await(experiment.settle().micros(), TimeUnit.MICROSECONDS);
@@ -410,34 +419,34 @@
 
     private void stopNodes() throws InterruptedException {
         for (int node = 0; node < nodes.size(); node++) {
-            NodeUnderTest subject = nodes.get(node);
-            if (!subject.isRunning() && !wasStoppedByRun(node)) {
+            NodeUnderTest nodeUnderTest = nodes.get(node);
+            if (!nodeUnderTest.isRunning() && !wasStoppedByRun(node)) {
                 logEvent(EventType.NODE_CRASHED, node, "ended before it was told to: " + lastLogLines(node));
             }
             logEvent(EventType.NODE_TERM, node, "the day is over");
-            subject.sendSignal("CONT");
-            subject.sendSignal("TERM");
+            nodeUnderTest.sendSignal("CONT");
+            nodeUnderTest.sendSignal("TERM");
         }
-        for (NodeUnderTest subject : nodes) {
-            if (!subject.awaitExit(TERM_GRACE_PERIOD_MILLIS)) {
-                subject.destroy();
-                subject.awaitExit(5_000);
+        for (NodeUnderTest nodeUnderTest : nodes) {
+            if (!nodeUnderTest.awaitExit(TERM_GRACE_PERIOD_MILLIS)) {
+                nodeUnderTest.destroy();
+                nodeUnderTest.awaitExit(5_000);
             }
         }
     }
 
     /** Whether, by its last event, the node is stopped because the run stopped it. */
     private boolean wasStoppedByRun(int node) {
-        boolean away = false;
-        for (ObservedEvent sight : eventLog.sortedEvents()) {
-            if (sight.node() == node) {
-                away = switch (sight.what()) {
+        boolean stopped = false;
+        for (ObservedEvent event : eventLog.sortedEvents()) {
+            if (event.node() == node) {
+                stopped = switch (event.what()) {
                     case NODE_KILLED, NODE_TERM, NODE_ENDED -> true;
                     case NODE_READY -> false;
-                    default -> away;
+                    default -> stopped;
                 };
             }
         }
-        return away;
+        return stopped;
     }
 }
--- a/src/main/java/terndyke/lab/run/NodeProcess.java
+++ b/src/main/java/terndyke/lab/run/NodeProcess.java
@@ -30,22 +30,23 @@
     private Process process;
 
     /**
-     * @param program the arguments after the JVM flags: a jar, or a class path and a class
-     * @param file supplies the content of the configuration file, which is written again for each start
+     * @param launchArguments the arguments after the JVM flags: a jar, or a class path and a class
+     * @param configuration supplies the content of the configuration file, which is written again for each start
      */
-    NodeProcess(Path folder, InetSocketAddress listen, List<String> program, Supplier<String> file, double diskMb)
+    NodeProcess(Path folder, InetSocketAddress listenAddress, List<String> launchArguments, Supplier<String> configuration,
+            double diskLimitMb)
             throws IOException {
         this.folder = folder;
-        this.listenAddress = listen;
-        this.launchArguments = program;
-        this.configuration = file;
-        this.diskLimitMb = diskMb;
+        this.listenAddress = listenAddress;
+        this.launchArguments = launchArguments;
+        this.configuration = configuration;
+        this.diskLimitMb = diskLimitMb;
         stateFolder = folder.resolve("state");
         Files.createDirectories(stateFolder);
         Files.deleteIfExists(folder.resolve("log")); // the log and the journal of an earlier run in the same folder
         try (Stream<Path> files = Files.list(stateFolder)) {
-            for (Path old : files.filter(Files::isRegularFile).toList()) {
-                Files.delete(old);
+            for (Path oldFile : files.filter(Files::isRegularFile).toList()) {
+                Files.delete(oldFile);
             }
         }
     }
@@ -68,8 +69,8 @@
         if (jar != null) {
             return List.of("-jar", jar);
         }
-        String own = System.getProperty("terndyke.jar");
-        return own != null ? List.of("-jar", own) : List.of("-cp", System.getProperty("java.class.path"), "terndyke.Main");
+        String ownJar = System.getProperty("terndyke.jar");
+        return ownJar != null ? List.of("-jar", ownJar) : List.of("-cp", System.getProperty("java.class.path"), "terndyke.Main");
     }
 
     @Override
@@ -91,11 +92,11 @@
         Path config = folder.resolve("config.json");
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(JVM_FLAGS);
-        int jar = launchArguments.indexOf("-jar");
-        if (jar >= 0) {
-            Path archive = Path.of(launchArguments.get(jar + 1).replaceFirst("\\.jar$", ".jsa"));
-            if (Files.exists(archive)) {
-                command.add("-XX:SharedArchiveFile=" + archive);
+        int jarIndex = launchArguments.indexOf("-jar");
+        if (jarIndex >= 0) {
+            Path sharedArchive = Path.of(launchArguments.get(jarIndex + 1).replaceFirst("\\.jar$", ".jsa"));
+            if (Files.exists(sharedArchive)) {
+                command.add("-XX:SharedArchiveFile=" + sharedArchive);
             }
         }
         command.addAll(launchArguments);
@@ -109,8 +110,8 @@
     }
 
     @Override
-    public boolean awaitReady(long patienceMillis) throws InterruptedException {
-        long end = System.nanoTime() + patienceMillis * 1_000_000;
+    public boolean awaitReady(long timeoutMillis) throws InterruptedException {
+        long end = System.nanoTime() + timeoutMillis * 1_000_000;
         while (System.nanoTime() < end && process.isAlive()) {
             if (isHealthy()) {
                 return true;
@@ -146,8 +147,8 @@
     }
 
     @Override
-    public boolean awaitExit(long patienceMillis) throws InterruptedException {
-        return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS);
+    public boolean awaitExit(long timeoutMillis) throws InterruptedException {
+        return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -183,8 +184,8 @@
         }
         long used = 0;
         try (Stream<Path> files = Files.list(stateFolder)) {
-            for (Path one : files.toList()) {
-                used += (Files.size(one) + 511) / 512 * 512;
+            for (Path file : files.toList()) {
+                used += (Files.size(file) + 511) / 512 * 512;
             }
         }
         Files.write(filler, new byte[(int) Math.max(0, diskLimitMb * 1_000_000 - used)]);
--- a/src/main/java/terndyke/lab/run/NodeUnderTest.java
+++ b/src/main/java/terndyke/lab/run/NodeUnderTest.java
@@ -10,13 +10,13 @@
     void start() throws IOException;
 
     /** Waits until the node serves requests; false if it does not within the given time. */
-    boolean awaitReady(long patienceMillis) throws InterruptedException;
+    boolean awaitReady(long timeoutMillis) throws InterruptedException;
 
     /** Sends a signal, given by its short name such as TERM. */
     void sendSignal(String name);
 
     /** Waits until the node has exited; false if it is still running after the given time. */
-    boolean awaitExit(long patienceMillis) throws InterruptedException;
+    boolean awaitExit(long timeoutMillis) throws InterruptedException;
 
     boolean isRunning();
 
--- a/src/main/java/terndyke/lab/run/ResourceSampler.java
+++ b/src/main/java/terndyke/lab/run/ResourceSampler.java
@@ -34,7 +34,7 @@
         lastPids = new long[nodes.size()];
     }
 
-    synchronized void takeSample(long start) {
+    synchronized void takeSample(long startMicros) {
         long now = TaskScheduler.nowMicros();
         int count = nodes.size();
         double[] memory = new double[count];
@@ -64,13 +64,13 @@
         }
         lastSampleAtMicros = now;
         int[][] load = emulator.loadByDestination();
-        int[] inHand = new int[load.length];
+        int[] callsInProgress = new int[load.length];
         int[] connections = new int[load.length];
         for (int i = 0; i < load.length; i++) {
-            inHand[i] = load[i][0];
+            callsInProgress[i] = load[i][0];
             connections[i] = load[i][1];
         }
-        samples.add(new Sample((now - start) / 1e6, memory, cores, descriptors, inHand, connections));
+        samples.add(new Sample((now - startMicros) / 1e6, memory, cores, descriptors, callsInProgress, connections));
     }
 
     synchronized List<Sample> samples() {
--- a/src/main/java/terndyke/lab/traced/FleetStatistics.java
+++ b/src/main/java/terndyke/lab/traced/FleetStatistics.java
@@ -22,8 +22,8 @@
     private static final class StepTotals {
         private final double[] totals = new double[Metric.values().length];
 
-        private void add(Metric sum, double figure) {
-            totals[sum.ordinal()] += figure;
+        private void add(Metric metric, double value) {
+            totals[metric.ordinal()] += value;
         }
     }
 
@@ -35,17 +35,17 @@
     private final Map<String, String> destinationsByOpenShot = new HashMap<>(); // by node, record and shot
     private long accountedUntilMicros;
 
-    private FleetStatistics(long start, long step) {
-        this.startMicros = start;
-        this.stepMicros = step;
-        accountedUntilMicros = start;
+    private FleetStatistics(long startMicros, long stepMicros) {
+        this.startMicros = startMicros;
+        this.stepMicros = stepMicros;
+        accountedUntilMicros = startMicros;
     }
 
     /** Computes the statistics of traced lines, which must be sorted by time; the step is in microseconds. */
-    public static FleetStatistics of(List<TraceLine> lines, long step) {
-        FleetStatistics sums = new FleetStatistics(lines.get(0).atMicros(), step);
-        lines.forEach(sums::process);
-        return sums;
+    public static FleetStatistics of(List<TraceLine> lines, long stepMicros) {
+        FleetStatistics statistics = new FleetStatistics(lines.get(0).atMicros(), stepMicros);
+        lines.forEach(statistics::process);
+        return statistics;
     }
 
     private void process(TraceLine line) {
@@ -56,7 +56,7 @@
             case "taken" -> {
                 count(line, line.argument(3), Metric.TAKEN);
                 // the first shot of a record may be traced before the record itself
-                if (destinationsByOpenShot.keySet().stream().noneMatch(one -> one.startsWith(record + " "))) {
+                if (destinationsByOpenShot.keySet().stream().noneMatch(key -> key.startsWith(record + " "))) {
                     destinationsByWaitingRecord.put(record, line.argument(3));
                 }
             }
@@ -83,8 +83,8 @@
             case "probe" -> count(line, line.argument(1), Metric.PROBES);
             case "list" -> count(line, null, Metric.LISTS);
             case "serving" -> { // a restart ends the shots and waits of the node's previous process run
-                destinationsByOpenShot.keySet().removeIf(one -> one.startsWith(line.node() + " "));
-                destinationsByWaitingRecord.keySet().removeIf(one -> one.startsWith(line.node() + " "));
+                destinationsByOpenShot.keySet().removeIf(key -> key.startsWith(line.node() + " "));
+                destinationsByWaitingRecord.keySet().removeIf(key -> key.startsWith(line.node() + " "));
             }
             default -> { }
         }
@@ -105,45 +105,45 @@
         }
     }
 
-    private void count(TraceLine line, String destination, Metric sum) {
-        long at = (line.atMicros() - startMicros) / stepMicros;
-        totalsByStep.computeIfAbsent(at, number -> new StepTotals()).add(sum, 1);
+    private void count(TraceLine line, String destination, Metric metric) {
+        long step = (line.atMicros() - startMicros) / stepMicros;
+        totalsByStep.computeIfAbsent(step, number -> new StepTotals()).add(metric, 1);
         if (destination != null) {
             totalsByDestination.computeIfAbsent(destination, name -> new TreeMap<>())
-                    .computeIfAbsent(at, number -> new StepTotals()).add(sum, 1);
+                    .computeIfAbsent(step, number -> new StepTotals()).add(metric, 1);
         }
     }
 
     /** Adds the time up to now to OUT and WAITING for the shots in progress and the records that are waiting. */
     private void advanceTo(long now) {
         while (accountedUntilMicros < now) {
-            long at = (accountedUntilMicros - startMicros) / stepMicros;
-            long until = Math.min(now, startMicros + (at + 1) * stepMicros);
+            long step = (accountedUntilMicros - startMicros) / stepMicros;
+            long until = Math.min(now, startMicros + (step + 1) * stepMicros);
             double share = (double) (until - accountedUntilMicros) / stepMicros;
-            destinationsByOpenShot.values().forEach(destination -> addTimeShare(at, destination, Metric.OUT, share));
-            destinationsByWaitingRecord.values().forEach(destination -> addTimeShare(at, destination, Metric.WAITING, share));
+            destinationsByOpenShot.values().forEach(destination -> addTimeShare(step, destination, Metric.OUT, share));
+            destinationsByWaitingRecord.values().forEach(destination -> addTimeShare(step, destination, Metric.WAITING, share));
             accountedUntilMicros = until;
         }
     }
 
-    private void addTimeShare(long at, String destination, Metric sum, double share) {
-        totalsByStep.computeIfAbsent(at, number -> new StepTotals()).add(sum, share);
+    private void addTimeShare(long step, String destination, Metric metric, double share) {
+        totalsByStep.computeIfAbsent(step, number -> new StepTotals()).add(metric, share);
         totalsByDestination.computeIfAbsent(destination, name -> new TreeMap<>())
-                .computeIfAbsent(at, number -> new StepTotals()).add(sum, share);
+                .computeIfAbsent(step, number -> new StepTotals()).add(metric, share);
     }
 
     /** The value of a metric in the given step, for one destination or, if it is null, for all. */
-    public double value(String destination, long at, Metric sum) {
-        StepTotals found = (destination == null ? totalsByStep
-                : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(at);
-        return found == null ? 0 : found.totals[sum.ordinal()];
+    public double value(String destination, long step, Metric metric) {
+        StepTotals totals = (destination == null ? totalsByStep
+                : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(step);
+        return totals == null ? 0 : totals.totals[metric.ordinal()];
     }
 
     /** The destinations, ordered by their number of accepted records, highest first. */
     public List<String> destinations() {
         List<String> names = new ArrayList<>(totalsByDestination.keySet());
         names.sort(java.util.Comparator.comparingDouble(name -> -totalsByDestination.get(name).values().stream()
-                .mapToDouble(one -> one.totals[Metric.TAKEN.ordinal()]).sum()));
+                .mapToDouble(stepTotals -> stepTotals.totals[Metric.TAKEN.ordinal()]).sum()));
         return names;
     }
 
@@ -155,15 +155,15 @@
     public String formatTable(String destination) {
         StringBuilder table = new StringBuilder(destination == null ? "all destinations" : "destination " + destination)
                 .append(String.format("%n%8s", "s"));
-        for (Metric sum : Metric.values()) {
-            table.append(String.format(" %7s", sum.name().toLowerCase(Locale.ROOT).substring(0, Math.min(7,
-                    sum.name().length()))));
+        for (Metric metric : Metric.values()) {
+            table.append(String.format(" %7s", metric.name().toLowerCase(Locale.ROOT).substring(0, Math.min(7,
+                    metric.name().length()))));
         }
         table.append(System.lineSeparator());
-        for (long at = 0; at < stepCount(); at++) {
-            table.append(String.format(Locale.ROOT, "%8.1f", at * stepMicros / 1e6));
-            for (Metric sum : Metric.values()) {
-                table.append(String.format(Locale.ROOT, " %7.0f", value(destination, at, sum)));
+        for (long step = 0; step < stepCount(); step++) {
+            table.append(String.format(Locale.ROOT, "%8.1f", step * stepMicros / 1e6));
+            for (Metric metric : Metric.values()) {
+                table.append(String.format(Locale.ROOT, " %7.0f", value(destination, step, metric)));
             }
             table.append(System.lineSeparator());
         }
--- a/src/main/java/terndyke/lab/traced/TraceLine.java
+++ b/src/main/java/terndyke/lab/traced/TraceLine.java
@@ -46,18 +46,18 @@
 
     /** Parses a line, ignoring any time stamp that a log collector put in front; null if it is not a traced line. */
     static TraceLine parse(String text) {
-        int mark = text.startsWith(TRACE_PREFIX + " ") ? 0 : text.indexOf(" " + TRACE_PREFIX + " ") + 1;
-        String[] words = mark == 0 && !text.startsWith(TRACE_PREFIX + " ") ? new String[0] : text.substring(mark).split(" ");
+        int start = text.startsWith(TRACE_PREFIX + " ") ? 0 : text.indexOf(" " + TRACE_PREFIX + " ") + 1;
+        String[] fields = start == 0 && !text.startsWith(TRACE_PREFIX + " ") ? new String[0] : text.substring(start).split(" ");
         try {
-            return words.length < MIN_FIELDS ? null : new TraceLine(Long.parseLong(words[1]), words[2], words[3],
-                    List.of(words).subList(MIN_FIELDS, words.length));
+            return fields.length < MIN_FIELDS ? null : new TraceLine(Long.parseLong(fields[1]), fields[2], fields[3],
+                    List.of(fields).subList(MIN_FIELDS, fields.length));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
     /** The argument at an index, or an empty string: a line may be truncated if its node was killed while writing it. */
-    String argument(int place) {
-        return place < arguments.size() ? arguments.get(place) : "";
+    String argument(int index) {
+        return index < arguments.size() ? arguments.get(index) : "";
     }
 }
--- a/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
@@ -28,34 +28,34 @@
 
     @Test
     void aValidFileIsReadAndWrittenCompletely() throws UserInputException {
-        Experiment day = ExperimentFile.read("day.yaml", VALID_EXPERIMENT);
-        assertEquals(4_000_000, day.length().micros());
-        assertEquals(Experiment.RepeatSemantics.DEDUPLICATED, day.grades().get(1).effect());
-        assertEquals(Failure.Kind.HANG, day.failures().get(0).kind());
-        assertEquals(500_000, day.failures().get(0).lasts().micros());
-        assertEquals(day, ExperimentFile.read("again", ExperimentFile.toYaml(day)));
+        Experiment experiment = ExperimentFile.read("day.yaml", VALID_EXPERIMENT);
+        assertEquals(4_000_000, experiment.length().micros());
+        assertEquals(Experiment.RepeatSemantics.DEDUPLICATED, experiment.grades().get(1).effect());
+        assertEquals(Failure.Kind.HANG, experiment.failures().get(0).kind());
+        assertEquals(500_000, experiment.failures().get(0).lasts().micros());
+        assertEquals(experiment, ExperimentFile.read("again", ExperimentFile.toYaml(experiment)));
     }
 
     @Test
     void allErrorsAreReportedTogetherWithTheirLines() {
-        List<String> faults = readErrors(VALID_EXPERIMENT.replace("length: 4s", "lenght: 4s").replace("count: 2", "count: two")
+        List<String> errors = readErrors(VALID_EXPERIMENT.replace("length: 4s", "lenght: 4s").replace("count: 2", "count: two")
                 .replace("effect: idempotent", "effect: harmless").replace("for: 500ms", "for: soon")
                 .replace("target: 1s, abandon: 3s}\n", "abandon: 3s}\n"));
-        assertEquals(5, faults.size(), faults.toString());
-        assertTrue(faults.get(0).startsWith("day.yaml:3: lenght: unknown field; nearest known: length"), faults.get(0));
-        assertTrue(faults.stream().anyMatch(fault -> fault.startsWith("day.yaml:5: grades.0.effect: found \"harmless\"")));
-        assertTrue(faults.stream().anyMatch(fault -> fault.startsWith("day.yaml:5: grades.0.target: is missing")));
-        assertTrue(faults.stream().anyMatch(fault -> fault.startsWith("day.yaml:8: destinations.0.count: found string")));
-        assertTrue(faults.stream().anyMatch(fault -> fault.startsWith("day.yaml:10: failures.0.for: found \"soon\"")));
+        assertEquals(5, errors.size(), errors.toString());
+        assertTrue(errors.get(0).startsWith("day.yaml:3: lenght: unknown field; nearest known: length"), errors.get(0));
+        assertTrue(errors.stream().anyMatch(error -> error.startsWith("day.yaml:5: grades.0.effect: found \"harmless\"")));
+        assertTrue(errors.stream().anyMatch(error -> error.startsWith("day.yaml:5: grades.0.target: is missing")));
+        assertTrue(errors.stream().anyMatch(error -> error.startsWith("day.yaml:8: destinations.0.count: found string")));
+        assertTrue(errors.stream().anyMatch(error -> error.startsWith("day.yaml:10: failures.0.for: found \"soon\"")));
     }
 
     @Test
     void inconsistentFieldsAreReportedToo() {
-        List<String> faults = readErrors(VALID_EXPERIMENT.replace("hall: west", "hall: moon")
+        List<String> errors = readErrors(VALID_EXPERIMENT.replace("hall: west", "hall: moon")
                 .replace("target: 1s, abandon: 3s, inOrder", "target: 9s, abandon: 3s, inOrder")
                 .replace("count: 2}", "count: 2, limit: {rate: 2, count: 3}}"));
-        assertEquals(3, faults.size(), faults.toString());
-        assertTrue(faults.get(0).contains("grades.1.target: target 9s is after abandon 3s"), faults.get(0));
+        assertEquals(3, errors.size(), errors.toString());
+        assertTrue(errors.get(0).contains("grades.1.target: target 9s is after abandon 3s"), errors.get(0));
     }
 
     @Test
--- a/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
@@ -27,9 +27,9 @@
                 .map(kind -> new Failure(kind, TimeSpan.of("1s"), TimeSpan.of("2s"), null, null)).toList());
     }
 
-    private static Set<Kind> failureKinds(Experiment day) {
+    private static Set<Kind> failureKinds(Experiment experiment) {
         Set<Kind> kinds = new HashSet<>();
-        day.failures().forEach(failure -> kinds.add(failure.kind()));
+        experiment.failures().forEach(failure -> kinds.add(failure.kind()));
         return kinds;
     }
 
@@ -37,26 +37,28 @@
     void theTwoFailuresThatFailOnlyTogetherAreKept() throws Exception {
         Set<Kind> culprits = Set.of(Kind.KILL, Kind.SILENT);
         ExperimentShrinker shrinker = new ExperimentShrinker(
-                day -> failureKinds(day).containsAll(culprits) && day.length().micros() >= 3_000_000, 1, text -> { });
-        Experiment least = shrinker.shrink(withFailures(Kind.HANG, Kind.KILL, Kind.SLOW, Kind.MUTE, Kind.SILENT, Kind.DRAIN,
+                experiment -> failureKinds(experiment).containsAll(culprits)
+                && experiment.length().micros() >= 3_000_000, 1, text -> { });
+        Experiment smallest = shrinker.shrink(withFailures(Kind.HANG, Kind.KILL, Kind.SLOW, Kind.MUTE, Kind.SILENT, Kind.DRAIN,
                 Kind.LIST_LATE));
-        assertEquals(culprits, failureKinds(least));
-        assertEquals(2, least.failures().size());
-        assertEquals(4_000_000, least.length().micros());
-        assertTrue(least.failures().stream().allMatch(failure -> failure.lasts().micros() < 200_000));
+        assertEquals(culprits, failureKinds(smallest));
+        assertEquals(2, smallest.failures().size());
+        assertEquals(4_000_000, smallest.length().micros());
+        assertTrue(smallest.failures().stream().allMatch(failure -> failure.lasts().micros() < 200_000));
     }
 
     @Test
     void anExperimentThatDoesNotFailIsNotShrunk() throws Exception {
-        assertNull(new ExperimentShrinker(day -> false, 1, text -> { }).shrink(withFailures(Kind.HANG)));
+        assertNull(new ExperimentShrinker(experiment -> false, 1, text -> { }).shrink(withFailures(Kind.HANG)));
     }
 
     @Test
     void theSameSeedGeneratesTheSameConsistentExperiment() {
         for (long seed = 1; seed <= 50; seed++) {
-            Experiment drawn = ExperimentGenerator.generate(baseExperiment, seed);
-            assertEquals(ExperimentFile.toYaml(drawn), ExperimentFile.toYaml(ExperimentGenerator.generate(baseExperiment, seed)));
-            assertTrue(drawn.findInconsistencies().isEmpty(), drawn.findInconsistencies().toString());
+            Experiment generated = ExperimentGenerator.generate(baseExperiment, seed);
+            assertEquals(ExperimentFile.toYaml(generated),
+                    ExperimentFile.toYaml(ExperimentGenerator.generate(baseExperiment, seed)));
+            assertTrue(generated.findInconsistencies().isEmpty(), generated.findInconsistencies().toString());
         }
         assertTrue(!ExperimentGenerator.generate(baseExperiment, 1).failures()
                 .equals(ExperimentGenerator.generate(baseExperiment, 2).failures()));
--- a/src/test/java/terndyke/lab/referee/RefereeTest.java
+++ b/src/test/java/terndyke/lab/referee/RefereeTest.java
@@ -64,8 +64,8 @@
         events.add(new ObservedEvent(at, EventType.NOTICE, 0, id, 0, null, 0, 0, 0, 0, 0, result, null));
     }
 
-    private void addNodeEvent(long at, EventType what) {
-        events.add(ObservedEvent.ofNodeProcess(at, what, 0, null));
+    private void addNodeEvent(long at, EventType type) {
+        events.add(ObservedEvent.ofNodeProcess(at, type, 0, null));
     }
 
     @Test
@@ -106,7 +106,7 @@
         addNodeEvent(7 * SECOND_MICROS, EventType.NODE_READY);
         addNotice(8 * SECOND_MICROS, "a", "dead");
         assertEquals(List.of(), judge());
-        events.removeIf(sight -> sight.what() == EventType.NOTICE);
+        events.removeIf(event -> event.what() == EventType.NOTICE);
         addNotice(9 * SECOND_MICROS, "a", "dead");
         assertEquals(List.of(1), judge());
     }
@@ -125,11 +125,11 @@
 
     @Test
     void aRecordThatMayHaveExecutedIsResentOnlyIfItsRepeatSemanticsAllow() {
-        for (int first : new int[] {500, 0}) {
+        for (int firstStatus : new int[] {500, 0}) {
             for (int grade : new int[] {STATUS, ORDER, PAYMENT}) {
                 events.clear();
                 addHandedIn(SECOND_MICROS, "a", grade, 202);
-                addCall(SECOND_MICROS + 5_000, "a", 1, 0, first, 0);
+                addCall(SECOND_MICROS + 5_000, "a", 1, 0, firstStatus, 0);
                 addCallEnd(SECOND_MICROS + 500_000, "a", 1);
                 addCall(2 * SECOND_MICROS, "a", 2, 0, 200, 0);
                 assertEquals(grade == PAYMENT ? List.of(2) : List.of(), judge());
@@ -278,7 +278,7 @@
                     null));
             assertEquals(answer == 202 ? List.of(1) : List.of(), judge());
         }
-        events.removeIf(sight -> sight.what() == EventType.FOREIGN);
+        events.removeIf(event -> event.what() == EventType.FOREIGN);
         assertEquals(List.of(1), judge(), "no client handed that content in");
     }
 
--- a/src/test/java/terndyke/lab/report/ComparisonTest.java
+++ b/src/test/java/terndyke/lab/report/ComparisonTest.java
@@ -9,12 +9,12 @@
 class ComparisonTest {
     private static final double[] GOODPUTS = {0.91, 0.55, 0.78, 0.99, 0.62, 0.84, 0.70, 0.95};
 
-    private static double[] shifted(double by, double... noise) {
-        double[] figures = GOODPUTS.clone();
-        for (int i = 0; i < figures.length; i++) {
-            figures[i] += by + noise[i % noise.length];
+    private static double[] shifted(double offset, double... noise) {
+        double[] values = GOODPUTS.clone();
+        for (int i = 0; i < values.length; i++) {
+            values[i] += offset + noise[i % noise.length];
         }
-        return figures;
+        return values;
     }
 
     @Test
@@ -30,9 +30,9 @@
 
     @Test
     void twoPairsAreTooFewToTell() {
-        Comparison two = new Comparison("goodput", new double[] {0.1, 0.2}, new double[] {0.8, 0.9});
-        assertFalse(two.isSignificant());
-        assertTrue(two.describe().contains("too few"));
-        assertEquals(0.15, two.meanA(), 1e-9);
+        Comparison comparison = new Comparison("goodput", new double[] {0.1, 0.2}, new double[] {0.8, 0.9});
+        assertFalse(comparison.isSignificant());
+        assertTrue(comparison.describe().contains("too few"));
+        assertEquals(0.15, comparison.meanA(), 1e-9);
     }
 }
--- a/src/test/java/terndyke/lab/run/LabProcessTest.java
+++ b/src/test/java/terndyke/lab/run/LabProcessTest.java
@@ -69,12 +69,12 @@
     @Test
     void realNodesKeepTheRulesThroughAKillAndTheReportSaysSo() throws Exception {
         Process lab = startLab("run", writeExperiment("2500ms"), "--out", folder.resolve("out").toString());
-        String said = readOutput(lab);
-        assertEquals(0, lab.waitFor(), said);
-        assertTrue(said.contains("all six rules kept"), said);
+        String output = readOutput(lab);
+        assertEquals(0, lab.waitFor(), output);
+        assertTrue(output.contains("all six rules kept"), output);
         JsonNode summary = readSummary();
-        assertTrue(summary.at("/messages/done").asInt() > 30, said);
-        assertTrue(summary.at("/calls/ran").asInt() > 30, said);
+        assertTrue(summary.at("/messages/done").asInt() > 30, output);
+        assertTrue(summary.at("/calls/ran").asInt() > 30, output);
         String page = Files.readString(folder.resolve("out/report.html"));
         assertEquals(6, page.split("data:image/png;base64,", -1).length - 1);
         assertFalse(page.contains("http://") || page.contains("https://"), "the report is self-contained");
@@ -105,9 +105,10 @@
         Path file = folder.resolve("bad.yaml");
         Files.writeString(file, EXPERIMENT.formatted("soon").replace("rate: 30", "rate: fast, sahpe: wave"));
         Process lab = startLab("run", file.toString());
-        String said = readOutput(lab);
-        assertEquals(2, lab.waitFor(), said);
-        assertTrue(said.contains("bad.yaml:3: length") && said.contains("load.rate") && said.contains("load.sahpe"), said);
+        String output = readOutput(lab);
+        assertEquals(2, lab.waitFor(), output);
+        assertTrue(output.contains("bad.yaml:3: length") && output.contains("load.rate")
+                && output.contains("load.sahpe"), output);
         assertEquals(2, startLab("run").waitFor());
         assertEquals(2, startLab("stroll").waitFor());
         assertEquals(2, startLab("load", "--to", "192.0.2.1:80").waitFor());
--- a/src/test/java/terndyke/lab/traced/FleetStatisticsTest.java
+++ b/src/test/java/terndyke/lab/traced/FleetStatisticsTest.java
@@ -28,21 +28,23 @@
 
     @Test
     void allNodesAreAddedUpByStepAndDestination() {
-        FleetStatistics sums = FleetStatistics.of(TRACE_LINES, 1_000_000);
-        assertEquals(List.of("3"), sums.destinations());
+        FleetStatistics statistics = FleetStatistics.of(TRACE_LINES, 1_000_000);
+        assertEquals(List.of("3"), statistics.destinations());
         for (String destination : new String[] {null, "3"}) {
-            assertEquals(2, sums.value(destination, 0, Metric.TAKEN));
-            assertEquals(2, sums.value(destination, 0, Metric.SHOTS));
-            assertEquals(1, sums.value(destination, 0, Metric.OPENED));
-            assertEquals(1, sums.value(destination, 0, Metric.FULL));
-            assertEquals(1, sums.value(destination, 0, Metric.TOLD));
-            assertEquals(1, sums.value(destination, 0, Metric.PROBES));
-            assertEquals(0.8, sums.value(destination, 0, Metric.OUT), 1e-9, "0.6 s and 0.2 s in a second");
-            assertEquals(0.2 + 0.4, sums.value(destination, 0, Metric.WAITING), 1e-9, "n1's first 0.2 s, n0's after its refusal");
-            assertEquals(1, sums.value(destination, 1, Metric.BOUNCED));
-            assertEquals(0.5, sums.value(destination, 1, Metric.OUT), 1e-9, "shots of a killed node end with its process run");
+            assertEquals(2, statistics.value(destination, 0, Metric.TAKEN));
+            assertEquals(2, statistics.value(destination, 0, Metric.SHOTS));
+            assertEquals(1, statistics.value(destination, 0, Metric.OPENED));
+            assertEquals(1, statistics.value(destination, 0, Metric.FULL));
+            assertEquals(1, statistics.value(destination, 0, Metric.TOLD));
+            assertEquals(1, statistics.value(destination, 0, Metric.PROBES));
+            assertEquals(0.8, statistics.value(destination, 0, Metric.OUT), 1e-9, "0.6 s and 0.2 s in a second");
+            assertEquals(0.2 + 0.4, statistics.value(destination, 0, Metric.WAITING), 1e-9,
+                    "n1's first 0.2 s, n0's after its refusal");
+            assertEquals(1, statistics.value(destination, 1, Metric.BOUNCED));
+            assertEquals(0.5, statistics.value(destination, 1, Metric.OUT), 1e-9,
+                    "shots of a killed node end with its process run");
         }
-        assertEquals(1, sums.value(null, 2, Metric.LISTS));
+        assertEquals(1, statistics.value(null, 2, Metric.LISTS));
     }
 
     @Test
