--- a/src/main/java/terndyke/lab/plan/UserInputException.java
+++ b/src/main/java/terndyke/lab/plan/UserInputException.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** A file or an option that cannot be used; each fault is one line. */
+/** Reports an invalid file or command-line option, with one line per error. */
 public final class UserInputException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient List<String> errors;
 
-    public UserInputException(List<String> faults) {
-        super(String.join("\n", faults));
-        this.errors = List.copyOf(faults);
+    public UserInputException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.errors = List.copyOf(errors);
     }
 
-    public UserInputException(String fault) {
-        this(List.of(fault));
+    public UserInputException(String error) {
+        this(List.of(error));
     }
 
     public List<String> errors() {
--- a/src/main/java/terndyke/lab/run/NodeProcess.java
+++ b/src/main/java/terndyke/lab/run/NodeProcess.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** A real node in a process of its own, started as the deployment starts it. */
+/** A real node in its own process, started with the same command line as in the deployment. */
 public final class NodeProcess implements NodeUnderTest {
     private static final List<String> JVM_FLAGS = List.of("-Xshare:auto", "-XX:+UseSerialGC", "-Xms36m", "-Xmx36m", "-Xmn10m",
             "-XX:+AlwaysPreTouch", "-Xss512k", "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m",
@@ -30,29 +30,30 @@
     private Process process;
 
     /**
-     * @param program what stands behind java's flags: a jar or a class path and a class
-     * @param file the configuration, made anew for each start
+     * @param launchArguments the arguments after the JVM flags: a jar, or a class path and a class
+     * @param configuration supplies the content of the configuration file, which is written again for each start
      */
-    NodeProcess(Path folder, InetSocketAddress listen, List<String> program, Supplier<String> file, double diskMb)
+    NodeProcess(Path folder, InetSocketAddress listenAddress, List<String> launchArguments, Supplier<String> configuration,
+            double diskLimitMb)
             throws IOException {
         this.folder = folder;
-        this.listenAddress = listen;
-        this.launchArguments = program;
-        this.configuration = file;
-        this.diskLimitMb = diskMb;
+        this.listenAddress = listenAddress;
+        this.launchArguments = launchArguments;
+        this.configuration = configuration;
+        this.diskLimitMb = diskLimitMb;
         stateFolder = folder.resolve("state");
         Files.createDirectories(stateFolder);
-        Files.deleteIfExists(folder.resolve("log")); // of an earlier day in the same folder, like its journal
+        Files.deleteIfExists(folder.resolve("log")); // the log and the journal of an earlier run in the same folder
         try (Stream<Path> files = Files.list(stateFolder)) {
-            for (Path old : files.filter(Files::isRegularFile).toList()) {
-                Files.delete(old);
+            for (Path oldFile : files.filter(Files::isRegularFile).toList()) {
+                Files.delete(oldFile);
             }
         }
     }
 
     /**
-     * Whether it never hears SIGHUP: what a process ignores its children ignore too, so a node below nohup cannot be told
-     * to read its configuration again.
+     * Whether the process ignores SIGHUP. Ignored signals are inherited by child processes, so a node started under nohup
+     * cannot be made to read its configuration again.
      */
     boolean ignoresHangup() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid() + "/status"))) {
@@ -63,13 +64,13 @@
         return false;
     }
 
-    /** What to start: that jar, or else the program that this laboratory belongs to. */
+    /** The arguments that start the given jar, or the program that this laboratory belongs to if it is null. */
     static List<String> chooseLaunchArguments(String jar) {
         if (jar != null) {
             return List.of("-jar", jar);
         }
-        String own = System.getProperty("terndyke.jar");
-        return own != null ? List.of("-jar", own) : List.of("-cp", System.getProperty("java.class.path"), "terndyke.Main");
+        String ownJar = System.getProperty("terndyke.jar");
+        return ownJar != null ? List.of("-jar", ownJar) : List.of("-cp", System.getProperty("java.class.path"), "terndyke.Main");
     }
 
     @Override
@@ -77,7 +78,7 @@
         return listenAddress;
     }
 
-    /** The new file takes the old one's place in one step, so that no reader sees half of it. */
+    /** Replaces the configuration file atomically, so that the node never reads a partly written file. */
     @Override
     public void writeConfiguration() throws IOException {
         Path next = folder.resolve("config.next");
@@ -91,11 +92,11 @@
         Path config = folder.resolve("config.json");
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(JVM_FLAGS);
-        int jar = launchArguments.indexOf("-jar");
-        if (jar >= 0) {
-            Path archive = Path.of(launchArguments.get(jar + 1).replaceFirst("\\.jar$", ".jsa"));
-            if (Files.exists(archive)) {
-                command.add("-XX:SharedArchiveFile=" + archive);
+        int jarIndex = launchArguments.indexOf("-jar");
+        if (jarIndex >= 0) {
+            Path sharedArchive = Path.of(launchArguments.get(jarIndex + 1).replaceFirst("\\.jar$", ".jsa"));
+            if (Files.exists(sharedArchive)) {
+                command.add("-XX:SharedArchiveFile=" + sharedArchive);
             }
         }
         command.addAll(launchArguments);
@@ -109,8 +110,8 @@
     }
 
     @Override
-    public boolean awaitReady(long patienceMillis) throws InterruptedException {
-        long end = System.nanoTime() + patienceMillis * 1_000_000;
+    public boolean awaitReady(long timeoutMillis) throws InterruptedException {
+        long end = System.nanoTime() + timeoutMillis * 1_000_000;
         while (System.nanoTime() < end && process.isAlive()) {
             if (isHealthy()) {
                 return true;
@@ -139,15 +140,15 @@
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("no signal can be sent: " + e.getMessage(), e);
+            throw new IllegalStateException("cannot send a signal to the node process: " + e.getMessage(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Override
-    public boolean awaitExit(long patienceMillis) throws InterruptedException {
-        return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS);
+    public boolean awaitExit(long timeoutMillis) throws InterruptedException {
+        return process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -160,12 +161,11 @@
         return process == null ? 0 : process.pid();
     }
 
-    /** What the process ended with. */
     int exitStatus() {
         return process.exitValue();
     }
 
-    /** The last lines of its log, for people. */
+    /** The last three lines of the process log, for messages. */
     String lastLogLines() {
         try {
             List<String> lines = Files.readAllLines(folder.resolve("log"), StandardCharsets.ISO_8859_1);
@@ -184,8 +184,8 @@
         }
         long used = 0;
         try (Stream<Path> files = Files.list(stateFolder)) {
-            for (Path one : files.toList()) {
-                used += (Files.size(one) + 511) / 512 * 512;
+            for (Path file : files.toList()) {
+                used += (Files.size(file) + 511) / 512 * 512;
             }
         }
         Files.write(filler, new byte[(int) Math.max(0, diskLimitMb * 1_000_000 - used)]);
--- a/src/main/java/terndyke/lab/traced/FleetStatistics.java
+++ b/src/main/java/terndyke/lab/traced/FleetStatistics.java
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * What all nodes of a fleet did together, by step of time: at all destinations, and at each one. A step's figures are
- * counts, but for the calls out and the records that waited, which are means over the step.
+ * Statistics of all nodes of a fleet together, per time step: for all destinations and for each one. The metrics are
+ * counts per step, except for OUT (shots in progress) and WAITING (waiting records), which are means over the step.
  */
 public final class FleetStatistics {
-    /** The columns, in the order in which they are shown. */
+    /** The columns of the table, in the order shown. */
     public enum Metric {
         TAKEN, SHOTS, OPENED, DONE, FULL, TOLD, CROWDED, FAILED, RECALLED, UNSENT, PROBES, LISTS, REFUSED, BOUNCED, TERMINATED,
         OUT, WAITING
     }
 
-    /** The figures of one step, those of Sum in its order; out and waiting in microseconds until they are read. */
+    /** The totals of one time step, indexed by the ordinal of {@link Metric}; OUT and WAITING as means over the step. */
     private static final class StepTotals {
         private final double[] totals = new double[Metric.values().length];
 
-        private void add(Metric sum, double figure) {
-            totals[sum.ordinal()] += figure;
+        private void add(Metric metric, double value) {
+            totals[metric.ordinal()] += value;
         }
     }
 
@@ -31,21 +31,21 @@
     private final long stepMicros;
     private final Map<String, TreeMap<Long, StepTotals>> totalsByDestination = new TreeMap<>();
     private final TreeMap<Long, StepTotals> totalsByStep = new TreeMap<>();
-    private final Map<String, String> destinationsByWaitingRecord = new HashMap<>(); // record at its node: its destination
-    private final Map<String, String> destinationsByOpenShot = new HashMap<>(); // shot at its node: its destination
+    private final Map<String, String> destinationsByWaitingRecord = new HashMap<>(); // by node and record
+    private final Map<String, String> destinationsByOpenShot = new HashMap<>(); // by node, record and shot
     private long accountedUntilMicros;
 
-    private FleetStatistics(long start, long step) {
-        this.startMicros = start;
-        this.stepMicros = step;
-        accountedUntilMicros = start;
+    private FleetStatistics(long startMicros, long stepMicros) {
+        this.startMicros = startMicros;
+        this.stepMicros = stepMicros;
+        accountedUntilMicros = startMicros;
     }
 
-    /** Adds up what was traced, in order of time. */
-    public static FleetStatistics of(List<TraceLine> lines, long step) {
-        FleetStatistics sums = new FleetStatistics(lines.get(0).atMicros(), step);
-        lines.forEach(sums::process);
-        return sums;
+    /** Computes the statistics of traced lines, which must be sorted by time; the step is in microseconds. */
+    public static FleetStatistics of(List<TraceLine> lines, long stepMicros) {
+        FleetStatistics statistics = new FleetStatistics(lines.get(0).atMicros(), stepMicros);
+        lines.forEach(statistics::process);
+        return statistics;
     }
 
     private void process(TraceLine line) {
@@ -55,7 +55,8 @@
         switch (line.verb()) {
             case "taken" -> {
                 count(line, line.argument(3), Metric.TAKEN);
-                if (destinationsByOpenShot.keySet().stream().noneMatch(one -> one.startsWith(record + " "))) { // its shot may be told first
+                // the first shot of a record may be traced before the record itself
+                if (destinationsByOpenShot.keySet().stream().noneMatch(key -> key.startsWith(record + " "))) {
                     destinationsByWaitingRecord.put(record, line.argument(3));
                 }
             }
@@ -69,7 +70,8 @@
             }
             case "over" -> {
                 countEnding(line);
-                if (destinationsByOpenShot.remove(shot) != null && !line.argument(4).equals("DONE") && !line.argument(4).equals("RECALLED")) {
+                if (destinationsByOpenShot.remove(shot) != null && !line.argument(4).equals("DONE")
+                        && !line.argument(4).equals("RECALLED")) {
                     destinationsByWaitingRecord.put(record, line.argument(3));
                 }
             }
@@ -80,9 +82,9 @@
             }
             case "probe" -> count(line, line.argument(1), Metric.PROBES);
             case "list" -> count(line, null, Metric.LISTS);
-            case "serving" -> { // a new life of the node: what its last one had out is over
-                destinationsByOpenShot.keySet().removeIf(one -> one.startsWith(line.node() + " "));
-                destinationsByWaitingRecord.keySet().removeIf(one -> one.startsWith(line.node() + " "));
+            case "serving" -> { // a restart ends the shots and waits of the node's previous process run
+                destinationsByOpenShot.keySet().removeIf(key -> key.startsWith(line.node() + " "));
+                destinationsByWaitingRecord.keySet().removeIf(key -> key.startsWith(line.node() + " "));
             }
             default -> { }
         }
@@ -103,44 +105,45 @@
         }
     }
 
-    private void count(TraceLine line, String destination, Metric sum) {
-        long at = (line.atMicros() - startMicros) / stepMicros;
-        totalsByStep.computeIfAbsent(at, number -> new StepTotals()).add(sum, 1);
+    private void count(TraceLine line, String destination, Metric metric) {
+        long step = (line.atMicros() - startMicros) / stepMicros;
+        totalsByStep.computeIfAbsent(step, number -> new StepTotals()).add(metric, 1);
         if (destination != null) {
             totalsByDestination.computeIfAbsent(destination, name -> new TreeMap<>())
-                    .computeIfAbsent(at, number -> new StepTotals()).add(sum, 1);
+                    .computeIfAbsent(step, number -> new StepTotals()).add(metric, 1);
         }
     }
 
-    /** The time up to now goes to what was out and what waited in it. */
+    /** Adds the time up to now to OUT and WAITING for the shots in progress and the records that are waiting. */
     private void advanceTo(long now) {
         while (accountedUntilMicros < now) {
-            long at = (accountedUntilMicros - startMicros) / stepMicros;
-            long until = Math.min(now, startMicros + (at + 1) * stepMicros);
+            long step = (accountedUntilMicros - startMicros) / stepMicros;
+            long until = Math.min(now, startMicros + (step + 1) * stepMicros);
             double share = (double) (until - accountedUntilMicros) / stepMicros;
-            destinationsByOpenShot.values().forEach(destination -> addTimeShare(at, destination, Metric.OUT, share));
-            destinationsByWaitingRecord.values().forEach(destination -> addTimeShare(at, destination, Metric.WAITING, share));
+            destinationsByOpenShot.values().forEach(destination -> addTimeShare(step, destination, Metric.OUT, share));
+            destinationsByWaitingRecord.values().forEach(destination -> addTimeShare(step, destination, Metric.WAITING, share));
             accountedUntilMicros = until;
         }
     }
 
-    private void addTimeShare(long at, String destination, Metric sum, double share) {
-        totalsByStep.computeIfAbsent(at, number -> new StepTotals()).add(sum, share);
+    private void addTimeShare(long step, String destination, Metric metric, double share) {
+        totalsByStep.computeIfAbsent(step, number -> new StepTotals()).add(metric, share);
         totalsByDestination.computeIfAbsent(destination, name -> new TreeMap<>())
-                .computeIfAbsent(at, number -> new StepTotals()).add(sum, share);
+                .computeIfAbsent(step, number -> new StepTotals()).add(metric, share);
     }
 
-    /** A figure of a step, of one destination or, where that is null, of all. */
-    public double value(String destination, long at, Metric sum) {
-        StepTotals found = (destination == null ? totalsByStep : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(at);
-        return found == null ? 0 : found.totals[sum.ordinal()];
+    /** The value of a metric in the given step, for one destination or, if it is null, for all. */
+    public double value(String destination, long step, Metric metric) {
+        StepTotals totals = (destination == null ? totalsByStep
+                : totalsByDestination.getOrDefault(destination, new TreeMap<>())).get(step);
+        return totals == null ? 0 : totals.totals[metric.ordinal()];
     }
 
-    /** The destinations, those with the most records first. */
+    /** The destinations, ordered by their number of accepted records, highest first. */
     public List<String> destinations() {
         List<String> names = new ArrayList<>(totalsByDestination.keySet());
         names.sort(java.util.Comparator.comparingDouble(name -> -totalsByDestination.get(name).values().stream()
-                .mapToDouble(one -> one.totals[Metric.TAKEN.ordinal()]).sum()));
+                .mapToDouble(stepTotals -> stepTotals.totals[Metric.TAKEN.ordinal()]).sum()));
         return names;
     }
 
@@ -148,19 +151,19 @@
         return totalsByStep.isEmpty() ? 0 : totalsByStep.lastKey() + 1;
     }
 
-    /** A table of one destination's steps, or of all where it is null. */
+    /** A table with one line per time step, for one destination or, if it is null, for all. */
     public String formatTable(String destination) {
         StringBuilder table = new StringBuilder(destination == null ? "all destinations" : "destination " + destination)
                 .append(String.format("%n%8s", "s"));
-        for (Metric sum : Metric.values()) {
-            table.append(String.format(" %7s", sum.name().toLowerCase(Locale.ROOT).substring(0, Math.min(7,
-                    sum.name().length()))));
+        for (Metric metric : Metric.values()) {
+            table.append(String.format(" %7s", metric.name().toLowerCase(Locale.ROOT).substring(0, Math.min(7,
+                    metric.name().length()))));
         }
         table.append(System.lineSeparator());
-        for (long at = 0; at < stepCount(); at++) {
-            table.append(String.format(Locale.ROOT, "%8.1f", at * stepMicros / 1e6));
-            for (Metric sum : Metric.values()) {
-                table.append(String.format(Locale.ROOT, " %7.0f", value(destination, at, sum)));
+        for (long step = 0; step < stepCount(); step++) {
+            table.append(String.format(Locale.ROOT, "%8.1f", step * stepMicros / 1e6));
+            for (Metric metric : Metric.values()) {
+                table.append(String.format(Locale.ROOT, " %7.0f", value(destination, step, metric)));
             }
             table.append(System.lineSeparator());
         }
