--- a/src/main/java/terndyke/node/http/Call.java
+++ b/src/main/java/terndyke/node/http/Call.java
@@ -2,17 +2,21 @@
 
 import terndyke.api.Ending;
 
-/** One call on an endpoint, in the form in which it goes out, and by when on the node's clock its first byte may leave. */
+/**
+ * One HTTP call, as it is sent. Headers are alternating names and values. From startDeadline on, a time of the node's clock
+ * in microseconds, the call must not start.
+ */
 public record Call(String method, String path, String[] headers, byte[] body, long startDeadline) {
 
-    /** A call that may start whenever its connection is up. */
+    /** A call without a start deadline. */
     public Call(String method, String path, String[] headers, byte[] body) {
         this(method, path, headers, body, Long.MAX_VALUE);
     }
 
     /**
-     * What came back. Status is 0 and ending says why where there was no readable answer; shutOut is true where the
-     * answer to a connection's first call was that it is closed again. The flaw is for the log alone.
+     * The result of a call. Without a readable response, status is 0 and ending says why; otherwise ending is null.
+     * connectionRejected is true if the response to the first call on a connection closes that connection. The defect is
+     * used for logs and counters only.
      */
     public record Result(int status, Ending ending, long retryAfterMicros, boolean lineBusy, String serverLoad, byte[] body,
             boolean connectionRejected, ResponseDefect defect) {
@@ -35,7 +39,7 @@
         }
     }
 
-    /** Called once on the I/O thread with the result. */
+    /** Called once, on the I/O thread, with the result of a call. */
     public interface ResultListener {
         void onResult(Result result);
     }
--- a/src/main/java/terndyke/node/http/ClientConnections.java
+++ b/src/main/java/terndyke/node/http/ClientConnections.java
@@ -14,16 +14,16 @@
 import terndyke.node.Limits;
 
 /**
- * The clients' connections: how many there may be, and how long each may stand idle, say nothing or be in the midst
- * of a request. On the I/O thread alone, but for the answers that other threads give. Guards against clients that keep
- * their connection for good, connect and say nothing, or send half a request; covers slow senders and leaked connections
- * too. It costs usual clients who pause for longer than that a new connection.
+ * The clients' connections. Limits how many are open, and for how long each may be idle, be silent after connecting, or be
+ * in the middle of a request. Used by the I/O thread alone, except for responses from other threads. Protects the node from
+ * clients that never close their connections, connect without sending anything, or send half a request, and thereby also
+ * from slow senders and leaked connections. The price: a well-behaved client that pauses for longer has to reconnect.
  */
 final class ClientConnections {
     private final Limits limits;
     private final LongSupplier clock;
-    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>(); // without an open request, longest first
-    private final Queue<ClientConnection> uncountedResponses = new ConcurrentLinkedQueue<>(); // by other threads, not yet counted
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>(); // no request in progress; longest idle first
+    private final Queue<ClientConnection> uncountedResponses = new ConcurrentLinkedQueue<>(); // by other threads
     private int openCount;
 
     ClientConnections(Limits limits, LongSupplier clock) {
@@ -31,7 +31,7 @@
         this.clock = clock;
     }
 
-    /** Lets a client in, in the place of one that stands idle where all are taken; null where there is no place. */
+    /** Accepts a client. At the limit an idle connection is closed for it; returns null if there is none to close. */
     ClientConnection accept(IOSession session) {
         countResponsesOfOtherThreads();
         int most = limits.maxClientConnections() + limits.maxExcessClientConnections();
@@ -39,7 +39,7 @@
             evictIdle(limits.silentClientEvictionMicros());
         }
         if (openCount >= most) {
-            evictIdle(limits.silentClientEvictionMicros() / 10); // had more time to say something than who comes now
+            evictIdle(limits.silentClientEvictionMicros() / 10); // had more time to send something than the new client
         }
         if (openCount >= most) {
             return null;
@@ -50,7 +50,7 @@
         return visit;
     }
 
-    /** True while more clients are connected than are served; those in excess are refused and let go. */
+    /** True while more clients are connected than are served: requests are then refused and their connections closed. */
     boolean isOverCapacity() {
         return openCount > limits.maxClientConnections();
     }
@@ -76,13 +76,13 @@
         }
     }
 
-    /** One client's connection. */
+    /** The connection of one client. */
     final class ClientConnection {
         private final IOSession session;
         private final Thread ownerThread = Thread.currentThread();
         private final Queue<Runnable> pendingResponses = new ConcurrentLinkedQueue<>();
         private final long connectedAt = clock.getAsLong();
-        private long phaseStartedAt; // resting, or reading the request that comes in
+        private long phaseStartedAt; // start of the idle time, or of the request being read
         private boolean readingRequest;
         private boolean requestReceived;
         private boolean closed;
@@ -95,17 +95,19 @@
         private void markIdle() {
             phaseStartedAt = clock.getAsLong();
             idleConnections.add(this);
-            session.setSocketTimeout(Timeout.ofMicroseconds(requestReceived ? limits.idleClientTimeoutMicros() : limits.silentClientTimeoutMicros()));
+            session.setSocketTimeout(Timeout.ofMicroseconds(
+                    requestReceived ? limits.idleClientTimeoutMicros() : limits.silentClientTimeoutMicros()));
         }
 
-        /** Bytes have come in. The request that they belong to has to be whole in time, however it trickles. */
+        /** Called when input arrives. One deadline applies to the whole request it belongs to, however slowly it arrives. */
         void onInput() {
             countResponsesOfOtherThreads();
             long now = clock.getAsLong();
             idleConnections.remove(this);
             phaseStartedAt = readingRequest ? phaseStartedAt : now;
             readingRequest = true;
-            long due = Math.min(phaseStartedAt + limits.requestReadTimeoutMicros(), requestReceived ? Long.MAX_VALUE : connectedAt + limits.firstRequestTimeoutMicros());
+            long due = Math.min(phaseStartedAt + limits.requestReadTimeoutMicros(),
+                    requestReceived ? Long.MAX_VALUE : connectedAt + limits.firstRequestTimeoutMicros());
             if (due <= now) {
                 close();
             } else {
@@ -114,9 +116,10 @@
         }
 
         /**
-         * Writes an answer that closes its connection, on the thread that owns it. Written on another one, it is lost where the
-         * owner is still busy with the request: that one sees the exchange finished and closes the connection before the bytes
-         * have left. An answer that keeps the connection may come from any thread, which saves a change of threads.
+         * Writes a response that closes its connection, on the thread that owns the connection. Written by another thread, the
+         * response is lost if the owner is still processing the request: the owner finds the exchange complete and closes the
+         * connection before the bytes are sent. A response that keeps the connection open may be written by any thread, which
+         * saves a thread switch.
          */
         void respondAndClose(Runnable write) {
             if (Thread.currentThread() == ownerThread) {
@@ -127,32 +130,32 @@
             }
         }
 
-        /** Answers of other threads wait to be written. */
+        /** True while responses from other threads wait to be written. */
         boolean hasPendingResponses() {
             return !pendingResponses.isEmpty();
         }
 
-        /** Writes the answers of other threads. */
+        /** Writes the responses from other threads. */
         void writePendingResponses() {
             for (Runnable write = pendingResponses.poll(); write != null; write = pendingResponses.poll()) {
                 write.run();
             }
         }
 
-        /** A request is whole. */
+        /** Called when a request has been read completely. */
         void onRequestComplete() {
             readingRequest = false;
             requestReceived = true;
             unansweredRequests++;
-            session.setSocketTimeout(Timeout.DISABLED); // every whole request is answered, however late the node is
+            session.setSocketTimeout(Timeout.DISABLED); // every complete request is answered, however late
         }
 
-        /** More requests wait on this connection than a client has reason for. */
+        /** True if more requests await their responses on this connection than are allowed to be pipelined. */
         boolean hasTooManyPendingRequests() {
             return unansweredRequests > limits.maxPipelinedRequests();
         }
 
-        /** A request has its answer; from any thread, and counted on the one that owns the connections. */
+        /** Called by any thread when a response is complete; it is counted by the thread that owns the connections. */
         void onResponseComplete() {
             if (Thread.currentThread() == ownerThread) {
                 countResponse();
@@ -161,7 +164,7 @@
             }
         }
 
-        /** Usual clients send the next request only when the last one has its answer, so nothing is half read. */
+        /** Well-behaved clients send a request only after the last response, so that no request is partly read by now. */
         private void countResponse() {
             unansweredRequests = Math.max(0, unansweredRequests - 1);
             if (unansweredRequests == 0 && !closed) {
@@ -170,13 +173,13 @@
             }
         }
 
-        /** Closes the connection: nothing more is read, and what was written still arrives. */
+        /** Closes the connection gracefully: nothing more is read, but what has been written is still sent. */
         void close() {
             session.close(CloseMode.GRACEFUL);
             markClosed();
         }
 
-        /** The connection is gone. */
+        /** Called when the connection is closed; may be called more than once. */
         void markClosed() {
             openCount -= closed ? 0 : 1;
             closed = true;
--- a/src/main/java/terndyke/node/http/ClientRequest.java
+++ b/src/main/java/terndyke/node/http/ClientRequest.java
@@ -1,25 +1,27 @@
 package terndyke.node.http;
 
 /**
- * A record as a client hands it in, decoded once. Key 0 means none, mark is null where there is none; remaining is in
- * whole microseconds from readAt, which is on the node's clock.
+ * A record as handed in by a client, decoded once. A key of 0 means no key, a null idempotencyKey means none.
+ * timeoutMicros counts from receivedAt, which is a time of the node's clock in whole microseconds. clientRetry is true if
+ * the request has the header Client-Retry, fromDeadNode if its value is "again": the client has handed the record in before
+ * without getting a response.
  */
-public record ClientRequest(String id, int grade, int tenant, long key, int destination, String idempotencyKey, long timeoutMicros,
-        boolean clientRetry, boolean fromDeadNode, byte[] body, long receivedAt, Responder responder) {
+public record ClientRequest(String id, int grade, int tenant, long key, int destination, String idempotencyKey,
+        long timeoutMicros, boolean clientRetry, boolean fromDeadNode, byte[] body, long receivedAt, Responder responder) {
 
-    /** How a client hears what became of its request; every method may be called from any thread. */
+    /** Sends the response to a client's request. Every method may be called from any thread. */
     public interface Responder {
 
-        /** Taken on: from now on the node owes the record its end. */
+        /** The record has been accepted: from now on the node is responsible for its outcome. */
         void taken();
 
-        /** Delivered before, in answer to a repeat. */
+        /** The request repeats a record that has been delivered already. */
         void delivered();
 
-        /** Refused: harmless to hand in again, after so many microseconds where that is not 0. */
+        /** The record is refused and may safely be handed in again, after the given microseconds unless they are 0. */
         void refused(long after);
 
-        /** Any other status. */
+        /** Responds with any other status. */
         void failed(int status);
     }
 }
--- a/src/main/java/terndyke/node/http/ClientRequestHandler.java
+++ b/src/main/java/terndyke/node/http/ClientRequestHandler.java
@@ -27,7 +27,7 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 
-/** The clients' door: decodes each request once and hands it over, or answers it where it cannot be read. */
+/** Server side of the clients' interface: decodes each request once and submits it to the node, or rejects it if malformed. */
 public final class ClientRequestHandler {
     private final Limits limits;
     private final Counters counters;
@@ -52,12 +52,12 @@
         this.disconnectListener = whenLeft;
     }
 
-    /** From now on each answer asks the client to close its connection. */
+    /** From now on each response has the header "Connection: close". */
     public void startClosing() {
         closing = true;
     }
 
-    /** A handler for one request. */
+    /** Creates the handler of one request. */
     AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection visit, boolean crowded) {
         return new Exchange(visit, crowded);
     }
@@ -69,8 +69,8 @@
         private ByteBuffer requestBody = ByteBuffer.allocate(0);
         private ByteBuffer responseBody;
         private boolean tooLarge;
-        private long discardedBytes; // bytes of a body that nobody wants
-        private final AtomicBoolean responseSettled = new AtomicBoolean(); // by the desk, or the client has left
+        private long discardedBytes; // bytes of a request body that is too large
+        private final AtomicBoolean responseSettled = new AtomicBoolean(); // response chosen, or client gone
         private ClientRequest clientRequest;
         private final ClientConnections.ClientConnection clientConnection;
         private final boolean overCapacity;
@@ -117,12 +117,13 @@
             if (tooLarge) {
                 discardedBytes += source.remaining();
                 source.position(source.limit());
-                if (discardedBytes > limits.maxDiscardedBodyBytes()) { // its answer has long gone out
+                if (discardedBytes > limits.maxDiscardedBodyBytes()) { // the response has been sent long before
                     clientConnection.close();
                 }
             } else {
                 if (requestBody.remaining() < source.remaining()) {
-                    requestBody = ByteBuffer.allocate(Math.max(2 * requestBody.capacity(), requestBody.position() + source.remaining()))
+                    requestBody = ByteBuffer
+                            .allocate(Math.max(2 * requestBody.capacity(), requestBody.position() + source.remaining()))
                             .put(requestBody.flip());
                 }
                 requestBody.put(source);
@@ -162,7 +163,7 @@
             }
         }
 
-        /** Hands the message over; why it is refused, or null where it is not. */
+        /** Submits the request to the node. Returns the counter of the reason for a refusal, or null if it is accepted. */
         private Counter submitAndGetRefusal() {
             if (overCapacity) {
                 return Counter.REFUSED_CROWDED;
@@ -185,20 +186,23 @@
                 throw new IllegalArgumentException("unknown service grade");
             }
             String id = singleHeader("Request-Id");
-            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars() || !id.chars().allMatch(ClientRequestHandler::isVisibleAscii)) {
+            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars()
+                    || !id.chars().allMatch(ClientRequestHandler::isVisibleAscii)) {
                 throw new IllegalArgumentException("Request-Id is missing, too long or not plain");
             }
             int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(singleHeader("Tenant"));
             if (tenant < 0) {
                 throw new IllegalArgumentException("unknown tenant");
             }
-            long remaining = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.maxRecordTimeoutMicros() / 1000);
+            long remaining = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms",
+                    limits.maxRecordTimeoutMicros() / 1000);
             String consignee = singleHeader("X-Consignee");
             String dest = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
             long destination = parseNumber(dest, "X-Consignee", 1 << 24);
             String retry = singleHeader("Client-Retry");
             String mark = singleHeader("Idempotency-Key");
-            if (mark != null && (mark.length() > limits.maxIdChars() || !mark.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
+            if (mark != null && (mark.length() > limits.maxIdChars()
+                    || !mark.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
                 throw new IllegalArgumentException("Idempotency-Key is too long or not plain");
             }
             byte[] content = new byte[requestBody.flip().remaining()];
@@ -207,7 +211,7 @@
                     remaining * 1000, retry != null, "again".equals(retry), content, clock.getAsLong(), this);
         }
 
-        /** The value of a header that may come once, or null where it is not there. */
+        /** The value of a header that may occur once, or null if it is absent. */
         private String singleHeader(String name) {
             Header[] headers = request.getHeaders(name);
             if (headers.length > 1) {
@@ -307,6 +311,7 @@
         }
     }
 
+    /** Formats a time as seconds with three decimals, rounded up to whole milliseconds. */
     static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
@@ -316,7 +321,7 @@
         return character > ' ' && character < 0x7f;
     }
 
-    /** The value of one name in a list of name=value pairs, or null; it may come once. */
+    /** The value of one name in a list of name=value pairs, or null if it is absent; the name may occur once. */
     static String parseField(String pairs, String name, String apart) {
         String value = null;
         for (String pair : pairs.split(apart)) {
@@ -331,7 +336,10 @@
         return value;
     }
 
-    /** A key as the module knows it: 16 hexadecimal digits as they are, anything else by its hash; never 0. */
+    /**
+     * Converts a key to the number that the decision module uses: 16 hexadecimal digits by their value, anything else by the
+     * 64-bit FNV-1a hash of its characters. Never 0, which means no key.
+     */
     static long toKeyNumber(String key) {
         long number = 0xcbf29ce484222325L;
         if (key.length() == 16 && key.matches("[0-9a-fA-F]+")) {
--- a/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
+++ b/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
@@ -9,8 +9,8 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * A connection's input in which a line ends by its line end alone. The library also ends it where the input ends, so that a
- * status line, a header or a chunk size that breaks off would count as a whole one.
+ * Input buffer that returns a line only once its line terminator has been read. The library also ends a line at the end of
+ * the input, so that a truncated status line, header or chunk size would count as a complete one.
  */
 class CompleteLinesInputBuffer implements SessionInputBuffer {
     private final SessionInputBuffer input;
--- a/src/main/java/terndyke/node/http/ConnectionPool.java
+++ b/src/main/java/terndyke/node/http/ConnectionPool.java
@@ -44,8 +44,9 @@
 import terndyke.node.Limits;
 
 /**
- * The node's own connections, one call at a time on each. All methods belong to one thread, the owner's; what comes
- * back goes to the sinks on the I/O thread, and lines that are free again come back through the given hand.
+ * Pool of the node's outbound HTTP/1.1 connections, with at most one call at a time on each. All methods are called by
+ * one owner thread. Results are delivered to the {@link Call.ResultListener}s on the I/O thread; there, too, the release
+ * listener gets each connection whose call has ended, for the owner to pass to {@link #release}.
  */
 public final class ConnectionPool {
     private final Reactor reactor;
@@ -54,10 +55,11 @@
     private final LongSupplier clock;
     private final Consumer<PooledConnection> releaseListener;
     private final Map<Peer, Deque<PooledConnection>> idleConnections = new HashMap<>();
-    private final Set<PooledConnection> busyConnections = new HashSet<>(); // with a call on them
+    private final Set<PooledConnection> busyConnections = new HashSet<>(); // with a call in progress
     private int openCount;
 
-    public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock, Consumer<PooledConnection> whenFree) {
+    public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock,
+            Consumer<PooledConnection> whenFree) {
         this.reactor = reactor;
         this.limits = limits;
         this.counters = counters;
@@ -66,18 +68,18 @@
     }
 
     /**
-     * Whoever answers at an address, for as long as it is that one: what comes to the same address later is another
-     * peer and gets nothing of this one's connections.
+     * The server at an address, for as long as it is the same one. A later server at that address is another peer and
+     * never gets a connection of this one.
      */
     public static final class Peer {
         private final InetSocketAddress address;
-        private final AtomicLong retryAfterReceivedAt; // when a wait was last told by a peer of the same destination
-        private boolean exemptFromLimit; // it gets a connection though all places are taken
+        private final AtomicLong retryAfterReceivedAt; // last Retry-After of any peer of the destination
+        private boolean exemptFromLimit; // may connect although the maximum of connections is open
         private boolean removed;
 
         /**
-         * The platform, whose few calls never wait for a place: guards notices and the watch against endpoints that
-         * take all places by keeping silent. The room for these connections is kept apart in the limits.
+         * A peer of the platform, whose few calls are exempt from the limit on connections. Otherwise endpoints that
+         * never respond could occupy all connections and block notices and the watch. The limits set sockets aside for it.
          */
         public static Peer forPlatform(InetSocketAddress address) {
             Peer peer = new Peer(address);
@@ -89,7 +91,7 @@
             this(address, new AtomicLong());
         }
 
-        /** One of several that tell their waits for all. */
+        /** One of several peers of a destination: a Retry-After from any of them applies to all. */
         public Peer(InetSocketAddress address, AtomicLong toldAt) {
             this.address = address;
             this.retryAfterReceivedAt = toldAt;
@@ -99,16 +101,17 @@
             return address;
         }
 
-        /** As a Host header names it. */
+        /** Host and port as the Host header has them. */
         public String hostHeader() {
             return address.getHostString() + ":" + address.getPort();
         }
     }
 
     /**
-     * One connection, with the call that is on it. What comes while no call waits for an answer belongs to none: the
-     * connection goes, and the earlier answer stands. Guards against second copies of an answer and noise behind it,
-     * which would else be taken for the answer to the next call; covers endpoints that close or go mad while idle.
+     * One connection with its current call. Input that arrives while no call awaits a response belongs to no call: the
+     * connection is closed, and the earlier response stands. Otherwise a duplicate of a response, or garbage after it,
+     * would be taken for the response to the next call. The same rule handles endpoints that close the connection or
+     * send garbage while it is idle.
      */
     public final class PooledConnection {
         private final Peer peer;
@@ -117,19 +120,19 @@
         private volatile boolean discarded;
         private Future<IOSession> pendingConnect;
         private volatile Exchange exchange;
-        private volatile boolean closeAfterCall; // the other side closes it
+        private volatile boolean closeAfterCall; // the peer closes it, or closeIdle() has marked it
         private long idleSince;
-        private volatile long requestEndOffset = Long.MAX_VALUE; // bytes that the calls so far come to
+        private volatile long requestEndOffset = Long.MAX_VALUE; // total bytes sent once the current request is written
         private boolean countedAsOpen = true;
         private ResponseHeadParser responseParser;
         private boolean readingInput;
-        private boolean firstCall = true; // the one that is on it is its first
+        private boolean firstCall = true; // the current call is the first on this connection
 
         private PooledConnection(Peer peer) {
             this.peer = peer;
         }
 
-        /** The reader of this connection's answers. */
+        /** Creates the parser for the heads of the responses on this connection. */
         ResponseHeadParser createResponseParser(Http1Config http) {
             responseParser = new ResponseHeadParser(http, new ResponseHeadParser.Listener() {
                 @Override
@@ -156,23 +159,27 @@
             return responseParser;
         }
 
-        /** Bytes, or an end, have come: false where no call waits for them. */
+        /**
+         * Called when input, or the end of input, is ready to be read. Returns false, and closes the connection, if no call
+         * awaits a response.
+         */
         boolean beginInput() {
             Exchange on = exchange;
             readingInput = on != null && on.requestStarted && !on.completed;
             if (!readingInput) {
                 session.close(CloseMode.IMMEDIATE);
                 if (on != null && !on.completed) {
-                    on.failed(null); // its call has not left
+                    on.failed(null); // its request has not been started
                 }
             }
             return readingInput;
         }
 
         /**
-         * All that has come by now is read before a call leaves: a wait may be in it, or noise on this very line. One of
-         * which bytes are left when it must not start any more is given up: a repeat that is whole only after its window
-         * is a second effect, and one that is never whole does not run.
+         * Whether the request may be started or continued. The first opportunity to write is skipped, so that input that
+         * has already arrived is read first: a Retry-After on any connection, or garbage on this one. A request that is
+         * only partly written at its start deadline is abandoned: a repeated shot that becomes complete after its
+         * deduplication window would take effect a second time, whereas an incomplete request is never executed.
          */
         boolean canWriteRequest() {
             Exchange on = exchange;
@@ -187,7 +194,7 @@
             return may;
         }
 
-        /** What has come has been read. */
+        /** Called when the available input has been read. */
         void endInput() {
             readingInput = false;
             Exchange on = exchange;
@@ -213,19 +220,22 @@
             return session != null && session.isOpen();
         }
 
-        /** True once all bytes of the calls so far have been written to the socket. */
+        /** True once all bytes of the current request have been written to the socket. */
         private boolean isRequestWritten() {
             Exchange on = exchange;
             return on != null && on.requestStarted && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
         }
     }
 
-    /** Starts a call; the sink hears of it once. Returns what cancel() takes, or null where no socket is left. */
+    /**
+     * Starts a call, whose listener is called once with its result. Returns the connection, for {@link #cancelCall}, or null
+     * if the maximum of connections is open and there is no idle one to close for it.
+     */
     public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener sink) {
         Deque<PooledConnection> free = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
         for (PooledConnection line = takeIdleConnection(free, now); line != null; line = takeIdleConnection(free, now)) {
             if (line.isUsable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
-                line.firstCall = false; // read on the I/O thread only after the exchange below is
+                line.firstCall = false; // ordered before the write of the volatile exchange below
                 line.exchange = new Exchange(line, call, now, sink);
                 line.session.enqueue(line.exchange.createCommand(), Command.Priority.NORMAL);
                 busyConnections.add(line);
@@ -263,7 +273,10 @@
         return line;
     }
 
-    /** Takes the line used last of those that have rested for a moment, in which anything behind its answer came. */
+    /**
+     * Takes the most recently used connection that has been idle for at least the reuse delay, in which any stray input after
+     * its last response arrives; if there is none, the most recently used one.
+     */
     private PooledConnection takeIdleConnection(Deque<PooledConnection> free, long now) {
         for (Iterator<PooledConnection> last = free.descendingIterator(); last.hasNext();) {
             PooledConnection line = last.next();
@@ -276,19 +289,20 @@
     }
 
     /**
-     * Gives up the call on a line by closing the connection; its sink hears nothing more that counts. True where the
-     * connection never came up, so that the call never ran. Once it is up that can't be told from this thread: the
-     * last byte may be on its way at this very moment.
+     * Cancels the call on a connection by closing the connection; any later result of the call is to be ignored. Returns
+     * true if the connection was never established, so that the call cannot have been executed. Once it is established,
+     * this thread cannot know: the last byte may be being written at this very moment.
      */
     public boolean cancelCall(PooledConnection line) {
         discard(line);
         return line.session == null;
     }
 
-    /** Takes back a line whose call is over, for the next call where it is still open. */
+    /** Takes back a connection whose call has ended: keeps it for the next call if it is reusable, else closes it. */
     public void release(PooledConnection line, long now) {
         busyConnections.remove(line);
-        if (line.isUsable() && !line.discarded && !line.closeAfterCall && !line.peer.removed && limits.idleConnectionTimeoutMicros() > 0) {
+        if (line.isUsable() && !line.discarded && !line.closeAfterCall && !line.peer.removed
+                && limits.idleConnectionTimeoutMicros() > 0) {
             line.idleSince = now;
             line.exchange = null;
             idleConnections.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
@@ -298,23 +312,24 @@
     }
 
     /**
-     * No call to a peer leaves that has not begun to. Guards against calls that were decided on before a wait was
-     * told and whose connection is up only after it; a call that leaves in this very moment still goes.
+     * Prevents all calls to a peer that have not started to send. Meant for calls that were decided on before a Retry-After
+     * was received but whose connection is established only after it. A call that starts at this very moment is still sent.
      */
     public void withhold(Peer peer) {
         busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null)
                 .forEach(line -> line.exchange.withheld = true);
     }
 
-    /** A peer has left its address: none of its connections is used again. */
+    /** Called when a peer is gone from its address: none of its connections is used again. */
     public void removePeer(Peer peer) {
         peer.removed = true;
         closeIdle(peer);
     }
 
     /**
-     * Closes the idle connections to a peer, and each whose call is over when the I/O thread hands it back. Guards
-     * against the turn that hears of an answer before its line is free, which else left the line idle for seconds.
+     * Closes the idle connections to a peer, and marks those whose result has been delivered to be closed on release. The
+     * owner thread may process a result before the I/O thread releases its connection, which would otherwise stay open
+     * and idle for seconds.
      */
     public void closeIdle(Peer peer) {
         busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null && line.exchange.resultDelivered)
@@ -325,7 +340,7 @@
         }
     }
 
-    /** Closes what has been idle for so long that the other side is about to. */
+    /** Closes connections that have been idle for so long that the peer is about to close them, or that are closed already. */
     public void closeExpired(long now) {
         for (Iterator<Deque<PooledConnection>> all = idleConnections.values().iterator(); all.hasNext();) {
             Deque<PooledConnection> free = all.next();
@@ -339,7 +354,7 @@
         }
     }
 
-    /** Closes all connections, those with a call on them too. */
+    /** Closes all connections, including those with a call in progress. */
     public void close() {
         List.copyOf(busyConnections).forEach(this::discard);
         idleConnections.values().forEach(free -> free.forEach(this::discard));
@@ -373,26 +388,26 @@
         }
     }
 
-    /** One call on the I/O thread. */
+    /** The exchange of one call, run on the I/O thread. */
     private final class Exchange implements AsyncClientExchangeHandler {
         private final PooledConnection pooledConnection;
         private final Call call;
         private final Call.ResultListener resultListener;
         private final ByteBuffer requestBody;
         private HttpResponse responseHead;
-        private int status; // of the first line, before the rest of the head is there
-        private long retryAfterMicros; // as a line of the head says it, before the rest is there
+        private int status; // from the status line, known before the head is complete; 0 before that
+        private long retryAfterMicros; // from its header line, known before the head is complete
         private ByteBuffer responseBody;
         private volatile boolean requestStarted;
         private volatile boolean withheld;
         private final long decidedAt;
-        private boolean deferredOnce; // one pass over all connections since the call was put on its line
+        private boolean deferredOnce; // one pass over all connections has been made since the call was queued
         private volatile boolean resultDelivered;
         private volatile boolean completed;
         private boolean released;
-        private int discardedBytes; // bytes of an answer that nobody wants
+        private int discardedBytes; // bytes of the response body that were not kept
         private int informationalResponses;
-        private long responseDeadline; // when the answer has to be whole
+        private long responseDeadline; // by when the response has to be complete, on System.nanoTime(), in microseconds
         private ResponseDefect defect = ResponseDefect.NONE;
 
         Exchange(PooledConnection line, Call call, long decidedAt, Call.ResultListener sink) {
@@ -425,13 +440,16 @@
             }
         }
 
-        /** The first line decides: what reads 200 is done, however the rest of its answer is spoilt. */
+        /** The status line decides the outcome: with 200 the call is done, even if the rest of the response is corrupt. */
         void onStatusLine(int read) {
             status = read;
             retryAfterMicros = 0;
         }
 
-        /** What was decided without knowing of a wait does not leave, though the rest of its answer may never come. */
+        /**
+         * Takes a Retry-After as soon as its header line is read, since the rest of the response may never arrive: from now on
+         * no call is sent that was decided on without knowing of it.
+         */
         void onRetryAfter(String seconds) {
             pooledConnection.peer.retryAfterReceivedAt.set(clock.getAsLong());
             retryAfterMicros = Math.max(retryAfterMicros, secondsToMicros(seconds));
@@ -441,7 +459,7 @@
             return status == 200 && !call.method().equals("GET");
         }
 
-        /** A part of the answer has come: its rest has to come in time, however it trickles. */
+        /** Called when part of the response has arrived: one deadline applies to all of the rest, however slowly it arrives. */
         void onPartialResponse() {
             long now = System.nanoTime() / 1000;
             responseDeadline = responseDeadline == 0 ? now + limits.responseReadTimeoutMicros() : responseDeadline;
@@ -460,7 +478,7 @@
             if (!completed) {
                 completed = true;
                 if (pooledConnection.session != null) {
-                    pooledConnection.session.setSocketTimeout(Timeout.DISABLED); // idle, it is the desk's to close
+                    pooledConnection.session.setSocketTimeout(Timeout.DISABLED); // the owner thread closes idle connections
                 }
             }
             if (!pooledConnection.readingInput) {
@@ -468,7 +486,7 @@
             }
         }
 
-        /** Hands the line back, once all that came with the answer has been looked at. */
+        /** Hands the connection back, once all input that arrived with the response has been inspected. */
         private void releaseConnection() {
             if (!released) {
                 released = true;
@@ -479,9 +497,10 @@
         @Override
         public void produceRequest(RequestChannel channel, HttpContext context)
                 throws HttpException, IOException {
-            if (withheld || pooledConnection.peer.retryAfterReceivedAt.get() > decidedAt || clock.getAsLong() >= call.startDeadline()) {
-                deliverResult(Call.Result.withoutResponse(Ending.NOT_SENT)); // its connection, or this thread, came too late
-                throw new IOException("call is too late to start");
+            if (withheld || pooledConnection.peer.retryAfterReceivedAt.get() > decidedAt
+                    || clock.getAsLong() >= call.startDeadline()) {
+                deliverResult(Call.Result.withoutResponse(Ending.NOT_SENT)); // the connection, or this thread, was too late
+                throw new IOException("request not sent: withheld, or past its start deadline");
             }
             BasicHttpRequest request = new BasicHttpRequest(call.method(), call.path());
             int size = call.method().length() + call.path().length() + " ".length() + " HTTP/1.1\r\n".length() + 2;
@@ -489,7 +508,8 @@
                 request.addHeader(call.headers()[i], call.headers()[i + 1]);
                 size += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
             }
-            pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount() + size + call.body().length;
+            pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount()
+                    + size + call.body().length;
             requestStarted = true;
             pooledConnection.session.setSocketTimeout(Timeout.DISABLED);
             channel.sendRequest(request, call.body().length == 0 ? null
@@ -514,7 +534,7 @@
         @Override
         public void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
             if (++informationalResponses > limits.maxHeaders()) {
-                throw new HttpException("an answer only announced");
+                throw new HttpException("too many informational responses to one request");
             }
         }
 
@@ -531,14 +551,16 @@
             }
             int most = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
             if (entity != null && entity.getContentLength() > most) {
-                throw new IOException("answer is too large");
+                throw new IOException("response body is too large");
             }
             if (entity == null) {
                 completeResponse();
             }
         }
 
-        /** The answer is whole. Only then does anything but 200 say that the call did not run. */
+        /**
+         * Called when the response is complete. Only then does a status other than 200 show that the call was not executed.
+         */
         private void completeResponse() {
             byte[] content = null;
             if (responseBody != null) {
@@ -550,7 +572,7 @@
             complete();
         }
 
-        /** A wait counts once its line has been read, however the rest of the answer is spoilt. */
+        /** The Retry-After of a 429 or 503, which counts once its header line has been read, even if the rest is corrupt. */
         private long effectiveRetryAfterMicros() {
             return status == 429 || status == 503 ? retryAfterMicros : 0;
         }
@@ -558,7 +580,8 @@
         private Call.Result createResult(byte[] content) {
             Header load = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
             return new Call.Result(responseHead.getCode(), null, retryAfterMicros, responseHead.containsHeader("X-Line-Busy"),
-                    load == null ? null : load.getValue(), content, pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
+                    load == null ? null : load.getValue(), content,
+                    pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
         }
 
         @Override
@@ -572,13 +595,13 @@
                 if (responseBody.remaining() < source.remaining()) {
                     int grown = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
                     if (grown > limits.maxResponseBytes()) {
-                        throw new IOException("answer is too large");
+                        throw new IOException("response body is too large");
                     }
                     responseBody = ByteBuffer.allocate(grown).put(responseBody.flip());
                 }
                 responseBody.put(source);
             } else if ((discardedBytes += source.remaining()) > limits.maxBodyBytes()) {
-                throw new IOException("answer does not end");
+                throw new IOException("discarded part of the response body is too large");
             } else {
                 source.position(source.limit());
             }
@@ -592,7 +615,8 @@
         @Override
         public void failed(Exception cause) {
             deliverResult(isDone() ? new Call.Result(status, null, 0, false, null, null)
-                    : Call.Result.withoutResponse(pooledConnection.isRequestWritten() ? Ending.RESET : Ending.NOT_CONNECTED, effectiveRetryAfterMicros(), classifyDefect(cause)));
+                    : Call.Result.withoutResponse(pooledConnection.isRequestWritten() ? Ending.RESET : Ending.NOT_CONNECTED,
+                            effectiveRetryAfterMicros(), classifyDefect(cause)));
             IOSession session = pooledConnection.session;
             if (session != null) {
                 session.close(CloseMode.IMMEDIATE);
@@ -600,7 +624,7 @@
             complete();
         }
 
-        /** Where an answer that did not come whole ended. */
+        /** How an incomplete response falls short, from how much of it was read. */
         private ResponseDefect classifyDefect(Exception cause) {
             if (defect != ResponseDefect.NONE) {
                 return defect;
@@ -627,7 +651,7 @@
         }
     }
 
-    /** Seconds, whole or decimal, in whole microseconds; 0 where there are none that can be read. */
+    /** Converts seconds, whole or decimal, to whole microseconds; 0 if the text is not a number between 0 and 1e6. */
     static long secondsToMicros(String text) {
         try {
             double seconds = Double.parseDouble(text);
@@ -637,7 +661,7 @@
         }
     }
 
-    /** An address in numbers, or null: names are not looked up. */
+    /** Parses a numeric IP address with port; null for anything else. Host names are not looked up. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]")) {
--- a/src/main/java/terndyke/node/http/Reactor.java
+++ b/src/main/java/terndyke/node/http/Reactor.java
@@ -50,7 +50,7 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 
-/** The one I/O thread, for the clients' connections and for the node's own. */
+/** The node's network I/O: one thread for the clients' connections and for the outbound ones, and one that accepts clients. */
 public final class Reactor {
     private static final Object LISTEN_ATTACHMENT = new Object();
 
@@ -62,7 +62,7 @@
     private final ClientConnections clientConnections;
     private final Http1Config httpConfig;
     private final DefaultHttpResponseWriterFactory responseWriterFactory;
-    private final Semaphore connectionPermits; // of clients' connections, from their accept to their close
+    private final Semaphore connectionPermits; // one for each client's connection, from accept to close
     private volatile Thread acceptThread;
     private volatile ClientRequestHandler requestHandler;
     private volatile boolean closing;
@@ -78,17 +78,20 @@
         IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMicroseconds(limits.selectIntervalMicros()))
                 .setBacklogSize(limits.listenBacklog()).build();
-        connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxPendingConnections());
-        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, io, work -> createDaemonThread(work, "terndyke-io"), work -> {
+        connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections()
+                + limits.maxPendingConnections());
+        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, io,
+                work -> createDaemonThread(work, "terndyke-io"), work -> {
             acceptThread = createDaemonThread(work, "terndyke-accept");
             return acceptThread;
         }, null, this::logIoError, null, null, ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, threads -> awaitConnectionPermit());
     }
 
     /**
-     * The library asks here which of its I/O threads, of which there is one, gets the next connection. Guards against
-     * clients that come faster than they can be looked at: they would take all descriptors, and the first accept without
-     * one ends the library's listener for good. Those in excess wait in the system's queue.
+     * Called by the library to choose the I/O thread, of which there is one, for the next connection; blocks the accept
+     * thread until a client may be accepted. Without this, clients that connect faster than they are processed could use up
+     * all file descriptors, and the first accept that fails for lack of one ends the library's listener for good. Connections
+     * in excess wait in the operating system's listen backlog.
      */
     private int awaitConnectionPermit() {
         try {
@@ -122,7 +125,7 @@
         return createInboundHandler(session);
     }
 
-    /** The messages on a connection of the node's own. */
+    /** Requests and responses on an outbound connection. */
     private final class OutboundStreamDuplexer extends ClientHttp1StreamDuplexer {
         OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection line) {
             super(session, HttpProcessorBuilder.create().build(), httpConfig, CharCodingConfig.DEFAULT,
@@ -138,7 +141,7 @@
         }
     }
 
-    /** The messages on a client's connection. */
+    /** Requests and responses on a client's connection. */
     private final class InboundStreamDuplexer extends ServerHttp1StreamDuplexer {
         InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchanges,
                 Http1StreamListener listener) {
@@ -155,7 +158,7 @@
         }
     }
 
-    /** A connection of the node's own. */
+    /** I/O events of an outbound connection. */
     private static final class OutboundEventHandler extends ClientHttp1IOEventHandler {
         private final ConnectionPool.PooledConnection pooledConnection;
 
@@ -183,7 +186,7 @@
         }
     }
 
-    /** A client's connection. */
+    /** I/O events of a client's connection. */
     private final class InboundEventHandler extends ServerHttp1IOEventHandler {
         private final ClientConnections.ClientConnection clientConnection;
 
@@ -200,7 +203,10 @@
             }
         }
 
-        /** Once more where an answer came meanwhile: the library may have taken back the wish to write just then. */
+        /**
+         * Repeats if another thread has added a response meanwhile: the library may have cleared the session's interest in
+         * writing just after that thread set it.
+         */
         @Override
         public void outputReady(IOSession session) throws IOException {
             do {
@@ -245,7 +251,7 @@
                 (request, context) -> requestHandler.createExchange(visit, clientConnections.isOverCapacity()), whenAnswered));
     }
 
-    /** A client for whom there is no place: closed at once. */
+    /** Handles the connection of a client that exceeds the limit: closes it at once. */
     private final class RejectingEventHandler implements IOEventHandler {
         @Override
         public void connected(IOSession session) {
@@ -270,11 +276,12 @@
         }
     }
 
+    /** Starts the I/O threads. */
     public void start() {
         ioReactor.start();
     }
 
-    /** Serves clients on an address from now on. */
+    /** Starts to accept clients on an address. Fails if that does not succeed within the start timeout. */
     public void listen(InetSocketAddress address, ClientRequestHandler door) throws IOException {
         this.requestHandler = door;
         Future<ListenerEndpoint> listening = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
@@ -288,6 +295,7 @@
         }
     }
 
+    /** Opens an outbound connection. */
     Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection line,
             FutureCallback<IOSession> callback) {
         return ioReactor.connect(new NamedEndpoint() {
@@ -305,11 +313,11 @@
 
     private void logIoError(Exception cause) {
         if (!closing) {
-            log.warn("I/O", cause);
+            log.warn("I/O error in the reactor", cause);
         }
     }
 
-    /** Closes idle connections in good order, waits a little for what is under way, and ends. */
+    /** Closes idle connections gracefully, waits for exchanges in progress up to the close timeout, then closes the rest. */
     public void close() throws InterruptedException {
         closing = true;
         ioReactor.initiateShutdown();
--- a/src/main/java/terndyke/node/http/RequestHeadParser.java
+++ b/src/main/java/terndyke/node/http/RequestHeadParser.java
@@ -14,22 +14,23 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Reads one client's heads. Where two readers could see the end of a request in two places, it is refused, and nothing
- * that follows on the connection is read: a record must never come out of another's body (rule 2). Guards against
- * Content-Length beside Transfer-Encoding, and covers repeated, signed or huge lengths and other codings. It may turn
- * away a sloppy client whose two lengths agree.
+ * Parses the heads of the requests on one client's connection. Protects against request smuggling: a request whose end
+ * two parsers could see in different places is rejected, and nothing that follows on the connection is read, since a record
+ * must never be taken from the body of another (rule 2). This applies to Content-Length together with Transfer-Encoding, to
+ * repeated, signed or huge lengths, and to codings other than chunked. It may also reject a sloppy client that sends two
+ * equal lengths.
  */
 final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
     private static final String CONTENT_LENGTH_PATTERN = "\\d{1,18}";
 
     private boolean malformed;
-    private boolean requestLineRead; // a head of which the first line has been read
+    private boolean requestLineRead; // the request line of a head that is not yet complete
 
     RequestHeadParser(Http1Config http) {
         super(http, DefaultHttpRequestFactory.INSTANCE);
     }
 
-    /** The end of the input ends no head: a client that stops inside one has handed nothing in. */
+    /** A head is not ended by the end of the input: a client that stops inside one has handed in nothing. */
     @Override
     public HttpRequest parse(SessionInputBuffer buffer, boolean endOfInput) throws IOException, HttpException {
         if (malformed) {
--- a/src/main/java/terndyke/node/http/ResponseDefect.java
+++ b/src/main/java/terndyke/node/http/ResponseDefect.java
@@ -1,19 +1,19 @@
 package terndyke.node.http;
 
-/** How an answer to one of the node's own calls fell short of a whole one, for the log. */
+/** What is wrong with the response to an outbound call, for logs and counters. */
 public enum ResponseDefect {
-    /** The answer is whole, or whole as far as it counts. */
+    /** The response is complete, or complete as far as its outcome requires. */
     NONE,
-    /** Nothing of an answer came before the connection ended. */
+    /** The connection ended before any byte of a response. */
     MISSING,
-    /** The connection ended before the end of the first line. */
+    /** The connection ended before the end of the status line. */
     CUT_IN_FIRST_LINE,
-    /** The connection ended between the first line and the end of the headers. */
+    /** The connection ended between the status line and the end of the headers. */
     CUT_IN_HEAD,
-    /** The connection ended, or the answer grew too large, before the end of the body. */
+    /** The connection ended, or the response grew too large, before the end of the body. */
     CUT_IN_BODY,
-    /** What came cannot be read as an answer. */
+    /** The bytes received cannot be parsed as a response. */
     UNREADABLE,
-    /** The rest of the answer did not come in time. */
+    /** The rest of the response did not arrive before the read timeout. */
     STALLED
 }
--- a/src/main/java/terndyke/node/http/ResponseHeadParser.java
+++ b/src/main/java/terndyke/node/http/ResponseHeadParser.java
@@ -11,24 +11,27 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.util.CharArrayBuffer;
 
-/** Reads the heads of the answers on one connection, and says what each first line and a wait read before the rest is there. */
+/**
+ * Parses the heads of the responses on one connection. Reports the status line and a Retry-After header as soon as each has
+ * been read, before the head is complete.
+ */
 final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
     private static final String RETRY_AFTER_PREFIX = "retry-after:";
 
     private final Listener listener;
     private SessionInputBuffer input;
-    private boolean statusLineRead; // a head of which the first line has been read
+    private boolean statusLineRead; // the status line of a head that is not yet complete
 
-    /** Hears of an answer's head while it is being read. */
+    /** Notified of the parts of a response head while it is being read. */
     interface Listener {
 
-        /** The first line has been read. */
+        /** The status line has been read. */
         void onStatusLine(int status);
 
-        /** A Retry-After header has been read, in seconds as it was sent. */
+        /** A Retry-After header has been read; its value is passed as it was sent. */
         void onRetryAfter(String seconds);
 
-        /** The connection's input ended inside the head. */
+        /** The input of the connection ended inside the head. */
         void onTruncatedHead(ResponseDefect where);
     }
 
@@ -37,7 +40,10 @@
         this.listener = listener;
     }
 
-    /** The end of the input ends no head: half a first line says nothing of what became of the call, nor does half a header. */
+    /**
+     * A head is not ended by the end of the input: half a status line, or half a header, tells nothing about the outcome of
+     * the call.
+     */
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean endOfInput) throws IOException, HttpException {
         input = buffer;
@@ -46,7 +52,7 @@
         if (head == null && endOfInput && hasLeftoverBytes()) {
             inspectTruncatedLine();
             listener.onTruncatedHead(statusLineRead ? ResponseDefect.CUT_IN_HEAD : ResponseDefect.CUT_IN_FIRST_LINE);
-            throw new ConnectionClosedException("the connection ended inside the head of an answer");
+            throw new ConnectionClosedException("the connection ended inside the head of a response");
         }
         return head;
     }
@@ -59,19 +65,23 @@
         return head;
     }
 
-    /** True where bytes are left that belong to no answer. */
+    /** True if bytes are left after the last complete response. */
     boolean hasLeftoverBytes() {
         return statusLineRead || input != null && input.hasData();
     }
 
-    /** A line of a head, which the library keeps to itself until the head is whole. */
+    /** Looks for Retry-After in a line of the head; the library gives the headers out only when the head is complete. */
     private void inspectLine(CharArrayBuffer line) {
-        if (statusLineRead && line.length() > RETRY_AFTER_PREFIX.length() && line.substring(0, RETRY_AFTER_PREFIX.length()).equalsIgnoreCase(RETRY_AFTER_PREFIX)) {
+        if (statusLineRead && line.length() > RETRY_AFTER_PREFIX.length()
+                && line.substring(0, RETRY_AFTER_PREFIX.length()).equalsIgnoreCase(RETRY_AFTER_PREFIX)) {
             listener.onRetryAfter(line.substringTrimmed(RETRY_AFTER_PREFIX.length(), line.length()));
         }
     }
 
-    /** A wait whose digits break off is no longer than the one that was told, so that much of it is heeded. */
+    /**
+     * Also takes the Retry-After of a truncated line: with digits missing at its end it is no longer than the value that was
+     * sent, so that waiting for at least this long is right.
+     */
     private void inspectTruncatedLine() throws IOException {
         CharArrayBuffer half = new CharArrayBuffer(RETRY_AFTER_PREFIX.length());
         if (input.readLine(half, true)) {
@@ -79,7 +89,7 @@
         }
     }
 
-    /** Lines of which each is looked at. */
+    /** Input buffer that passes each complete line to {@link #inspectLine}. */
     private final class InspectingInputBuffer extends CompleteLinesInputBuffer {
         InspectingInputBuffer(SessionInputBuffer input) {
             super(input);
--- a/src/main/java/terndyke/node/http/StrictChunkDecoder.java
+++ b/src/main/java/terndyke/node/http/StrictChunkDecoder.java
@@ -11,13 +11,15 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * A chunked body, whole only once the whole line of its last chunk has come. The library takes the end of the input for the
- * end of a chunk's size, so that a body cut behind the first digit of {@code 0a} would count as a whole one.
+ * Decoder for a chunked body that is complete only once the whole line of its last chunk has been read. The library takes
+ * the end of the input for the end of a chunk size, so that a body truncated after the first digit of {@code 0a} would count
+ * as complete.
  */
 final class StrictChunkDecoder extends ChunkDecoder {
     private boolean endOfInput;
 
-    StrictChunkDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config http, BasicHttpTransportMetrics metrics) {
+    StrictChunkDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config http,
+            BasicHttpTransportMetrics metrics) {
         super(channel, new CompleteLinesInputBuffer(buffer), http, metrics);
     }
 
--- a/src/test/java/terndyke/node/http/ClientConnectionsTest.java
+++ b/src/test/java/terndyke/node/http/ClientConnectionsTest.java
@@ -20,7 +20,7 @@
 
 import terndyke.node.Limits;
 
-/** Clients' connections by a clock that the test sets, without sockets. */
+/** Limits and timeouts of clients' connections, with a clock set by the test and without sockets. */
 class ClientConnectionsTest {
     private final Limits limits = Limits.fromResources(128, 256, 3, 12, 40, 400_000, 1_000_000);
     private final Set<IOSession> closed = new HashSet<>();
@@ -63,7 +63,7 @@
         long first = timeouts.get(slow);
         now += 1_500_000;
         visit.onInput();
-        assertEquals(first - 1_500_000, timeouts.get(slow), "a byte more brings no time more");
+        assertEquals(first - 1_500_000, timeouts.get(slow), "another byte does not extend the deadline");
         now += 600_000;
         visit.onInput();
         assertTrue(closed.contains(slow));
@@ -86,11 +86,11 @@
         now += 1_000;
         assertTrue(clientConnections.isOverCapacity());
         assertNotNull(clientConnections.accept(createSession()));
-        assertTrue(closed.isEmpty(), "nobody is turned out in the moment of coming");
+        assertTrue(closed.isEmpty(), "no connection is closed that was opened just now");
         now += limits.silentClientEvictionMicros();
         clientConnections.accept(createSession());
         assertEquals(1, closed.size());
-        assertFalse(closed.contains(idle), "its request is coming in");
+        assertFalse(closed.contains(idle), "its request is being read");
     }
 
     @Test
@@ -115,8 +115,8 @@
         ClientConnections.ClientConnection visit = clientConnections.accept(usual);
         visit.onInput();
         visit.onRequestComplete();
-        assertEquals(Timeout.DISABLED.toMicroseconds(), timeouts.get(usual), "a late answer is better than none");
-        visit.onInput(); // the selector spoke, but nothing came
+        assertEquals(Timeout.DISABLED.toMicroseconds(), timeouts.get(usual), "a complete request is answered, however late");
+        visit.onInput(); // the selector reported input, but there was none
         now += 2_500_000;
         visit.onResponseComplete();
         visit.onInput();
@@ -131,7 +131,7 @@
         for (int i = 1; i < limits.maxExcessClientConnections(); i++) {
             clientConnections.accept(createSession());
         }
-        assertNull(clientConnections.accept(createSession()), "nobody had the time to say anything");
+        assertNull(clientConnections.accept(createSession()), "no client has had the time to send anything");
         now += limits.silentClientEvictionMicros() / 2;
         assertNotNull(clientConnections.accept(createSession()));
         assertEquals(Set.of(silent), closed);
@@ -178,7 +178,7 @@
         visit.onRequestComplete();
         long whole = timeouts.get(client);
         runOnOtherThread(visit::onResponseComplete);
-        assertEquals(whole, timeouts.get(client), "nothing of the connection changes on another thread");
+        assertEquals(whole, timeouts.get(client), "the connection is not changed by another thread");
         clientConnections.accept(createSession());
         assertEquals(limits.idleClientTimeoutMicros(), timeouts.get(client));
     }
--- a/src/test/java/terndyke/node/http/ConnectionPoolTest.java
+++ b/src/test/java/terndyke/node/http/ConnectionPoolTest.java
@@ -32,7 +32,7 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 
-/** Calls against an endpoint on loopback that does, connection by connection, what the test says. */
+/** Calls to an endpoint on the loopback interface whose behaviour each test scripts, connection by connection. */
 class ConnectionPoolTest {
     private static final byte[] BODY = "content".getBytes(StandardCharsets.US_ASCII);
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -139,7 +139,8 @@
             readRequest(connection);
             sendResponse(connection, OK_RESPONSE);
             assertEquals(200, awaitResult().status());
-            ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS); // on its way back when the turn hears of the answer
+            // the owner thread processes the result before this connection is released to it
+            ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS);
             connectionPool.closeIdle(peer);
             connectionPool.release(line, 0);
             connection.setSoTimeout(30_000);
@@ -151,7 +152,7 @@
         try {
             return connection.getInputStream().read() < 0;
         } catch (SocketException e) {
-            return true; // closed at once, by a reset
+            return true; // closed by a reset
         }
     }
 
@@ -159,7 +160,8 @@
     void aRefusedConnectionShowsThatNothingRan() throws Exception {
         InetSocketAddress nobody = endpointAddress();
         endpoint.close();
-        connectionPool.startCall(new ConnectionPool.Peer(nobody), new Call("POST", "/events", new String[0], BODY), 0, results::add);
+        connectionPool.startCall(new ConnectionPool.Peer(nobody), new Call("POST", "/events", new String[0], BODY), 0,
+                results::add);
         assertEquals(Ending.NOT_CONNECTED, awaitResult().ending());
     }
 
@@ -198,13 +200,13 @@
         ConnectionPool.PooledConnection line = startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
-            assertFalse(connectionPool.cancelCall(line), "it was up, so it may have run");
+            assertFalse(connectionPool.cancelCall(line), "the connection was established, so the call may have run");
             connection.setSoTimeout(5_000);
             int end;
             try {
                 end = connection.getInputStream().read();
             } catch (java.net.SocketException e) {
-                end = -1; // a reset is a closing too
+                end = -1; // closed by a reset
             }
             assertEquals(-1, end);
         }
@@ -257,7 +259,7 @@
                     connection.getOutputStream().write(endless);
                 }
             } catch (IOException e) {
-                // closed by the node, as it should be
+                // closed by the node, as expected
             }
         }
         ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS);
@@ -286,7 +288,8 @@
 
     @Test
     void aCorruptResponseWithStatus200IsDoneAndItsConnectionIsClosed() throws Exception {
-        for (String spoilt : List.of("HTTP/1.1 200 OK\r\n\u0001\u0002 what\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
+        for (String spoilt : List.of("HTTP/1.1 200 OK\r\n\u0001\u0002 what\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", "HTTP/1.1 200 OK\r\nNever: ends",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1")) {
             startCall(BODY, 0);
@@ -305,13 +308,14 @@
         try {
             assertEquals(-1, connection.getInputStream().read());
         } catch (java.net.SocketException e) {
-            // a reset is a closing too
+            // closed by a reset
         }
     }
 
     @Test
     void aCorruptResponseWithAnyOtherStatusDoesNotProveThatTheCallDidNotRun() throws Exception {
-        for (String spoilt : List.of("HTTP/1.1 2\u0000\u0001\r\n\r\n", "\u0003\u0004\u0005\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\n1",
+        for (String spoilt : List.of("HTTP/1.1 2\u0000\u0001\r\n\r\n", "\u0003\u0004\u0005\r\n\r\n",
+                "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\n1",
                 "HTTP/1.1 429 No\r\nContent-Length: x\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\nxx",
                 "HTTP/1.1 100 Go\r\n\r\n".repeat(200))) {
             startCall(BODY, 0);
@@ -376,11 +380,11 @@
         connectionPool = new ConnectionPool(reactor, limits, counters, clock::get, releasedConnections::add);
         endpoint.setReceiveBufferSize(4096);
         byte[] large = new byte[8 << 20]; // far more than the sockets hold
-        connectionPool.startCall(peer, new Call("POST", "/events", new String[] {"Content-Length", Integer.toString(large.length)},
-                large, 500), 0, results::add);
+        connectionPool.startCall(peer, new Call("POST", "/events", new String[] {"Content-Length",
+            Integer.toString(large.length)}, large, 500), 0, results::add);
         try (Socket connection = endpoint.accept()) {
             connection.setSoTimeout(5_000);
-            assertEquals('P', connection.getInputStream().read(), "it has begun in time");
+            assertEquals('P', connection.getInputStream().read(), "the request has started before its deadline");
             clock.set(500);
             long read = 1;
             byte[] some = new byte[1 << 16];
@@ -389,11 +393,11 @@
                     read += n;
                 }
             } catch (SocketException e) {
-                // closed with bytes left
+                // closed before the whole request was sent
             }
-            assertTrue(read < large.length, "read " + read);
+            assertTrue(read < large.length, "bytes received of the request: " + read);
         }
-        assertEquals(Ending.NOT_CONNECTED, awaitResult().ending(), "it never ran");
+        assertEquals(Ending.NOT_CONNECTED, awaitResult().ending(), "an incomplete request is not executed");
     }
 
     @Test
@@ -408,10 +412,11 @@
         assertEquals(250_000, result.retryAfterMicros());
     }
 
-    /** The wait's line is there, the end of its head never comes. */
+    /** The connection ends after the Retry-After header and before the end of the head. */
     @ParameterizedTest
     @CsvSource({"'429 Slow\r\nRetry-After: 0.25\r\nContent-Le', 250000", "'503 Full\r\nretry-AFTER:2\r\n', 2000000",
-        "'429 Slow\r\nX: Retry-After: 3\r\nContent-Le', 0", "'429 Slow\r\nRetry-After: 1', 1000000", "'429 Slow\r\nRetry-After:', 0", "'500 No\r\nRetry-After: 1\r\n', 0"})
+        "'429 Slow\r\nX: Retry-After: 3\r\nContent-Le', 0", "'429 Slow\r\nRetry-After: 1', 1000000",
+        "'429 Slow\r\nRetry-After:', 0", "'500 No\r\nRetry-After: 1\r\n', 0"})
     void aRetryAfterIsReportedThoughTheResponseHeadIsTruncated(String answer, long wait) throws Exception {
         startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
@@ -423,11 +428,13 @@
         assertEquals(wait, result.retryAfterMicros());
     }
 
-    /** The connection ends in good order, before the answer does: what is there proves nothing. */
+    /** The connection is closed gracefully before the response is complete: what was received proves nothing. */
     @ParameterizedTest
-    @CsvSource({"'HTTP/1.1 200', CUT_IN_FIRST_LINE", "'HTTP/1.1 200 OK\r', CUT_IN_FIRST_LINE", "'HTTP/1.1 503 No', CUT_IN_FIRST_LINE",
+    @CsvSource({"'HTTP/1.1 200', CUT_IN_FIRST_LINE", "'HTTP/1.1 200 OK\r', CUT_IN_FIRST_LINE",
+        "'HTTP/1.1 503 No', CUT_IN_FIRST_LINE",
         "'HTTP/1.1 410 Gone\r\n', CUT_IN_HEAD", "'HTTP/1.1 429 Slow\r\nRetry-A', CUT_IN_HEAD",
-        "'HTTP/1.1 504 No\r\nContent-Length: 0\r\n', CUT_IN_HEAD", "'HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\nno', CUT_IN_BODY",
+        "'HTTP/1.1 504 No\r\nContent-Length: 0\r\n', CUT_IN_HEAD",
+        "'HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\nno', CUT_IN_BODY",
         "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n', CUT_IN_BODY",
         "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0', CUT_IN_BODY", "'', MISSING"})
     void aTruncatedResponseDoesNotProveThatTheCallDidNotRun(String answer, ResponseDefect flaw) throws Exception {
@@ -448,10 +455,11 @@
         endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         ConnectionPool.Peer full = new ConnectionPool.Peer(endpointAddress());
         List<Socket> others = new java.util.ArrayList<>();
-        for (int i = 0; i < 2; i++) { // the queue of the socket is full, so the next one is not up yet
+        for (int i = 0; i < 2; i++) { // fills the listen backlog, so that the next connection is not yet established
             others.add(new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
         }
-        connectionPool = new ConnectionPool(reactor, Limits.fromResources(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters, () -> 0, releasedConnections::add);
+        connectionPool = new ConnectionPool(reactor, Limits.fromResources(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters,
+                () -> 0, releasedConnections::add);
         connectionPool.startCall(full, new Call("POST", "/events", new String[] {"Host", "x"}, BODY), 0, results::add);
         connectionPool.withhold(full);
         for (int i = 0; i < 3; i++) {
@@ -504,7 +512,8 @@
             assertTrue(startCall(BODY, 0) != null);
         }
         assertNull(startCall(BODY, 0));
-        assertTrue(connectionPool.startCall(ConnectionPool.Peer.forPlatform(endpointAddress()), new Call("POST", "/v2/finals", new String[0], BODY), 0,
-                results::add) != null, "notices always go");
+        assertTrue(connectionPool.startCall(ConnectionPool.Peer.forPlatform(endpointAddress()),
+                new Call("POST", "/v2/finals", new String[0], BODY), 0, results::add) != null,
+                "calls to the platform are exempt from the limit");
     }
 }
