--- a/src/main/java/terndyke/node/http/ClientRequestHandler.java
+++ b/src/main/java/terndyke/node/http/ClientRequestHandler.java
@@ -39,6 +39,10 @@
     private final Supplier<Boolean> readinessCheck;
     private volatile boolean closing;
 
+    /**
+     * Creates a handler for clients' requests. submitRequest returns false if the node takes no more requests at the moment;
+     * disconnectListener gets each decoded request whose client disconnects before its response.
+     */
     public ClientRequestHandler(Limits limits, Counters counters, List<String> grades, List<String> tenants, LongSupplier clock,
             Supplier<Boolean> ready, Predicate<ClientRequest> handOver,
             Consumer<ClientRequest> whenLeft) {
