--- a/src/main/java/terndyke/node/http/Call.java
+++ b/src/main/java/terndyke/node/http/Call.java
@@ -21,21 +21,21 @@
     public record Result(int status, Ending ending, long retryAfterMicros, boolean lineBusy, String serverLoad, byte[] body,
             boolean connectionRejected, ResponseDefect defect) {
 
-        public Result(int status, Ending ending, long waitTold, boolean lineBusy, String load, byte[] body) {
-            this(status, ending, waitTold, lineBusy, load, body, false);
+        public Result(int status, Ending ending, long retryAfterMicros, boolean lineBusy, String serverLoad, byte[] body) {
+            this(status, ending, retryAfterMicros, lineBusy, serverLoad, body, false);
         }
 
-        public Result(int status, Ending ending, long waitTold, boolean lineBusy, String load, byte[] body,
-                boolean shutOut) {
-            this(status, ending, waitTold, lineBusy, load, body, shutOut, ResponseDefect.NONE);
+        public Result(int status, Ending ending, long retryAfterMicros, boolean lineBusy, String serverLoad, byte[] body,
+                boolean connectionRejected) {
+            this(status, ending, retryAfterMicros, lineBusy, serverLoad, body, connectionRejected, ResponseDefect.NONE);
         }
 
         static Result withoutResponse(Ending ending) {
             return withoutResponse(ending, 0, ResponseDefect.NONE);
         }
 
-        static Result withoutResponse(Ending ending, long waitTold, ResponseDefect flaw) {
-            return new Result(0, ending, waitTold, false, null, null, false, flaw);
+        static Result withoutResponse(Ending ending, long retryAfterMicros, ResponseDefect defect) {
+            return new Result(0, ending, retryAfterMicros, false, null, null, false, defect);
         }
     }
 
--- a/src/main/java/terndyke/node/http/ClientConnections.java
+++ b/src/main/java/terndyke/node/http/ClientConnections.java
@@ -34,20 +34,20 @@
     /** Accepts a client. At the limit an idle connection is closed for it; returns null if there is none to close. */
     ClientConnection accept(IOSession session) {
         countResponsesOfOtherThreads();
-        int most = limits.maxClientConnections() + limits.maxExcessClientConnections();
+        int maxOpen = limits.maxClientConnections() + limits.maxExcessClientConnections();
         if (openCount >= limits.maxClientConnections()) {
             evictIdle(limits.silentClientEvictionMicros());
         }
-        if (openCount >= most) {
+        if (openCount >= maxOpen) {
             evictIdle(limits.silentClientEvictionMicros() / 10); // had more time to send something than the new client
         }
-        if (openCount >= most) {
+        if (openCount >= maxOpen) {
             return null;
         }
         openCount++;
-        ClientConnection visit = new ClientConnection(session);
-        visit.markIdle();
-        return visit;
+        ClientConnection connection = new ClientConnection(session);
+        connection.markIdle();
+        return connection;
     }
 
     /** True while more clients are connected than are served: requests are then refused and their connections closed. */
@@ -56,23 +56,24 @@
     }
 
     private void countResponsesOfOtherThreads() {
-        for (ClientConnection visit = uncountedResponses.poll(); visit != null; visit = uncountedResponses.poll()) {
-            visit.countResponse();
+        for (ClientConnection connection = uncountedResponses.poll(); connection != null;
+                connection = uncountedResponses.poll()) {
+            connection.countResponse();
         }
     }
 
-    private void evictIdle(long silentAtLeast) {
+    private void evictIdle(long minSilentMicros) {
         long now = clock.getAsLong();
-        ClientConnection first = null;
-        for (ClientConnection visit : idleConnections) {
-            long rested = now - visit.phaseStartedAt;
-            if (rested >= limits.idleClientEvictionMicros() || !visit.requestReceived && rested >= silentAtLeast) {
-                first = visit;
+        ClientConnection evicted = null;
+        for (ClientConnection connection : idleConnections) {
+            long idleMicros = now - connection.phaseStartedAt;
+            if (idleMicros >= limits.idleClientEvictionMicros() || !connection.requestReceived && idleMicros >= minSilentMicros) {
+                evicted = connection;
                 break;
             }
         }
-        if (first != null) {
-            first.close();
+        if (evicted != null) {
+            evicted.close();
         }
     }
 
@@ -106,12 +107,12 @@
             idleConnections.remove(this);
             phaseStartedAt = readingRequest ? phaseStartedAt : now;
             readingRequest = true;
-            long due = Math.min(phaseStartedAt + limits.requestReadTimeoutMicros(),
+            long deadline = Math.min(phaseStartedAt + limits.requestReadTimeoutMicros(),
                     requestReceived ? Long.MAX_VALUE : connectedAt + limits.firstRequestTimeoutMicros());
-            if (due <= now) {
+            if (deadline <= now) {
                 close();
             } else {
-                session.setSocketTimeout(Timeout.ofMicroseconds(due - now));
+                session.setSocketTimeout(Timeout.ofMicroseconds(deadline - now));
             }
         }
 
--- a/src/main/java/terndyke/node/http/ClientRequest.java
+++ b/src/main/java/terndyke/node/http/ClientRequest.java
@@ -19,7 +19,7 @@
         void delivered();
 
         /** The record is refused and may safely be handed in again, after the given microseconds unless they are 0. */
-        void refused(long after);
+        void refused(long retryAfterMicros);
 
         /** Responds with any other status. */
         void failed(int status);
--- a/src/main/java/terndyke/node/http/ClientRequestHandler.java
+++ b/src/main/java/terndyke/node/http/ClientRequestHandler.java
@@ -44,16 +44,16 @@
      * disconnectListener gets each decoded request whose client disconnects before its response.
      */
     public ClientRequestHandler(Limits limits, Counters counters, List<String> grades, List<String> tenants, LongSupplier clock,
-            Supplier<Boolean> ready, Predicate<ClientRequest> handOver,
-            Consumer<ClientRequest> whenLeft) {
+            Supplier<Boolean> readinessCheck, Predicate<ClientRequest> submitRequest,
+            Consumer<ClientRequest> disconnectListener) {
         this.limits = limits;
         this.counters = counters;
         this.grades = grades;
         this.tenants = tenants;
         this.clock = clock;
-        this.readinessCheck = ready;
-        this.submitRequest = handOver;
-        this.disconnectListener = whenLeft;
+        this.readinessCheck = readinessCheck;
+        this.submitRequest = submitRequest;
+        this.disconnectListener = disconnectListener;
     }
 
     /** From now on each response has the header "Connection: close". */
@@ -62,8 +62,8 @@
     }
 
     /** Creates the handler of one request. */
-    AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection visit, boolean crowded) {
-        return new Exchange(visit, crowded);
+    AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection clientConnection, boolean overCapacity) {
+        return new Exchange(clientConnection, overCapacity);
     }
 
     private final class Exchange implements AsyncServerExchangeHandler, ClientRequest.Responder {
@@ -79,22 +79,22 @@
         private final ClientConnections.ClientConnection clientConnection;
         private final boolean overCapacity;
 
-        Exchange(ClientConnections.ClientConnection visit, boolean crowded) {
-            this.clientConnection = visit;
-            this.overCapacity = crowded;
+        Exchange(ClientConnections.ClientConnection clientConnection, boolean overCapacity) {
+            this.clientConnection = clientConnection;
+            this.overCapacity = overCapacity;
         }
 
         @Override
-        public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel responses, HttpContext with)
+        public void handleRequest(HttpRequest requestHead, EntityDetails entity, ResponseChannel channel, HttpContext httpContext)
                 throws HttpException, IOException {
-            request = head;
-            responseChannel = responses;
-            context = with;
+            request = requestHead;
+            responseChannel = channel;
+            context = httpContext;
             if (entity != null && entity.getContentLength() > limits.maxBodyBytes()) {
                 rejectTooLarge();
             } else if (entity == null) {
                 processRequest();
-            } else if (head.containsHeader("Expect")) {
+            } else if (requestHead.containsHeader("Expect")) {
                 responseChannel.sendInformation(new BasicHttpResponse(100), context);
             }
         }
@@ -155,10 +155,10 @@
             counters.add(Counter.REQUESTS_IN);
             try {
                 clientRequest = decodeRequest(path);
-                Counter why = submitAndGetRefusal();
-                if (why != null) {
+                Counter refusal = submitAndGetRefusal();
+                if (refusal != null) {
                     counters.add(Counter.REFUSED_AT_DOOR);
-                    counters.add(why);
+                    counters.add(refusal);
                     refused(0);
                 }
             } catch (IllegalArgumentException e) {
@@ -182,10 +182,10 @@
             if (!request.getMethod().equals("POST")) {
                 throw new IllegalArgumentException("only POST hands a record in");
             }
-            int end = path.indexOf('/', 1);
-            int query = path.indexOf('?');
-            int stop = end > 0 ? end : query > 0 ? query : path.length();
-            int grade = grades.indexOf(path.length() > 0 ? path.substring(1, stop) : "");
+            int secondSlash = path.indexOf('/', 1);
+            int queryStart = path.indexOf('?');
+            int gradeEnd = secondSlash > 0 ? secondSlash : queryStart > 0 ? queryStart : path.length();
+            int grade = grades.indexOf(path.length() > 0 ? path.substring(1, gradeEnd) : "");
             if (grade < 0) {
                 throw new IllegalArgumentException("unknown service grade");
             }
@@ -198,21 +198,21 @@
             if (tenant < 0) {
                 throw new IllegalArgumentException("unknown tenant");
             }
-            long remaining = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms",
+            long timeoutMillis = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms",
                     limits.maxRecordTimeoutMicros() / 1000);
             String consignee = singleHeader("X-Consignee");
-            String dest = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
-            long destination = parseNumber(dest, "X-Consignee", 1 << 24);
-            String retry = singleHeader("Client-Retry");
-            String mark = singleHeader("Idempotency-Key");
-            if (mark != null && (mark.length() > limits.maxIdChars()
-                    || !mark.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
+            String destinationText = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
+            long destination = parseNumber(destinationText, "X-Consignee", 1 << 24);
+            String clientRetry = singleHeader("Client-Retry");
+            String idempotencyKey = singleHeader("Idempotency-Key");
+            if (idempotencyKey != null && (idempotencyKey.length() > limits.maxIdChars()
+                    || !idempotencyKey.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
                 throw new IllegalArgumentException("Idempotency-Key is too long or not plain");
             }
-            byte[] content = new byte[requestBody.flip().remaining()];
-            requestBody.get(content);
-            return new ClientRequest(id, grade, tenant, parseKey(), (int) destination, mark,
-                    remaining * 1000, retry != null, "again".equals(retry), content, clock.getAsLong(), this);
+            byte[] body = new byte[requestBody.flip().remaining()];
+            requestBody.get(body);
+            return new ClientRequest(id, grade, tenant, parseKey(), (int) destination, idempotencyKey,
+                    timeoutMillis * 1000, clientRetry != null, "again".equals(clientRetry), body, clock.getAsLong(), this);
         }
 
         /** The value of a header that may occur once, or null if it is absent. */
@@ -224,9 +224,9 @@
             return headers.length == 0 ? null : String.valueOf(headers[0].getValue()).strip();
         }
 
-        private long parseNumber(String text, String name, long most) {
+        private long parseNumber(String text, String name, long max) {
             long value = text == null || !text.matches("\\d{1,15}") ? -1 : Long.parseLong(text);
-            if (value < 0 || value > most) {
+            if (value < 0 || value > max) {
                 throw new IllegalArgumentException(name + " is missing or not a number in range");
             }
             return value;
@@ -249,8 +249,8 @@
         }
 
         @Override
-        public void refused(long after) {
-            sendResponse(503, after, false, null);
+        public void refused(long retryAfterMicros) {
+            sendResponse(503, retryAfterMicros, false, null);
         }
 
         @Override
@@ -258,18 +258,18 @@
             sendResponse(status, 0, false, null);
         }
 
-        private void sendResponse(int status, long retryAfter, boolean close, String content) {
+        private void sendResponse(int status, long retryAfterMicros, boolean closeConnection, String bodyText) {
             if (!responseSettled.compareAndSet(false, true)) {
                 return;
             }
             BasicHttpResponse response = new BasicHttpResponse(status);
-            if (retryAfter > 0) {
-                response.addHeader("Retry-After", formatSeconds(retryAfter));
+            if (retryAfterMicros > 0) {
+                response.addHeader("Retry-After", formatSeconds(retryAfterMicros));
             }
-            if (close || closing || overCapacity) {
+            if (closeConnection || closing || overCapacity) {
                 response.addHeader("Connection", "close");
             }
-            responseBody = content == null ? null : ByteBuffer.wrap(content.getBytes(StandardCharsets.UTF_8));
+            responseBody = bodyText == null ? null : ByteBuffer.wrap(bodyText.getBytes(StandardCharsets.UTF_8));
             response.addHeader("Content-Length", responseBody == null ? 0 : responseBody.remaining());
             if (DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context)) {
                 writeResponse(response);
@@ -326,15 +326,15 @@
     }
 
     /** The value of one name in a list of name=value pairs, or null if it is absent; the name may occur once. */
-    static String parseField(String pairs, String name, String apart) {
+    static String parseField(String pairs, String name, String separatorRegex) {
         String value = null;
-        for (String pair : pairs.split(apart)) {
-            String[] sides = pair.strip().split("=", 2);
-            if (sides.length == 2 && sides[0].strip().equals(name)) {
+        for (String pair : pairs.split(separatorRegex)) {
+            String[] nameAndValue = pair.strip().split("=", 2);
+            if (nameAndValue.length == 2 && nameAndValue[0].strip().equals(name)) {
                 if (value != null) {
                     throw new IllegalArgumentException(name + " comes more than once");
                 }
-                value = sides[1].strip();
+                value = nameAndValue[1].strip();
             }
         }
         return value;
--- a/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
+++ b/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
@@ -35,8 +35,8 @@
     }
 
     @Override
-    public int fill(ReadableByteChannel from) throws IOException {
-        return input.fill(from);
+    public int fill(ReadableByteChannel source) throws IOException {
+        return input.fill(source);
     }
 
     @Override
@@ -45,22 +45,22 @@
     }
 
     @Override
-    public int read(ByteBuffer to, int most) {
-        return input.read(to, most);
+    public int read(ByteBuffer target, int maxBytes) {
+        return input.read(target, maxBytes);
     }
 
     @Override
-    public int read(ByteBuffer to) {
-        return input.read(to);
+    public int read(ByteBuffer target) {
+        return input.read(target);
     }
 
     @Override
-    public int read(WritableByteChannel to, int most) throws IOException {
-        return input.read(to, most);
+    public int read(WritableByteChannel target, int maxBytes) throws IOException {
+        return input.read(target, maxBytes);
     }
 
     @Override
-    public int read(WritableByteChannel to) throws IOException {
-        return input.read(to);
+    public int read(WritableByteChannel target) throws IOException {
+        return input.read(target);
     }
 }
--- a/src/main/java/terndyke/node/http/ConnectionPool.java
+++ b/src/main/java/terndyke/node/http/ConnectionPool.java
@@ -59,12 +59,12 @@
     private int openCount;
 
     public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock,
-            Consumer<PooledConnection> whenFree) {
+            Consumer<PooledConnection> releaseListener) {
         this.reactor = reactor;
         this.limits = limits;
         this.counters = counters;
         this.clock = clock;
-        this.releaseListener = whenFree;
+        this.releaseListener = releaseListener;
     }
 
     /**
@@ -92,9 +92,9 @@
         }
 
         /** One of several peers of a destination: a Retry-After from any of them applies to all. */
-        public Peer(InetSocketAddress address, AtomicLong toldAt) {
+        public Peer(InetSocketAddress address, AtomicLong retryAfterReceivedAt) {
             this.address = address;
-            this.retryAfterReceivedAt = toldAt;
+            this.retryAfterReceivedAt = retryAfterReceivedAt;
         }
 
         public InetSocketAddress address() {
@@ -133,8 +133,8 @@
         }
 
         /** Creates the parser for the heads of the responses on this connection. */
-        ResponseHeadParser createResponseParser(Http1Config http) {
-            responseParser = new ResponseHeadParser(http, new ResponseHeadParser.Listener() {
+        ResponseHeadParser createResponseParser(Http1Config httpConfig) {
+            responseParser = new ResponseHeadParser(httpConfig, new ResponseHeadParser.Listener() {
                 @Override
                 public void onStatusLine(int status) {
                     if (exchange != null) {
@@ -150,9 +150,9 @@
                 }
 
                 @Override
-                public void onTruncatedHead(ResponseDefect where) {
+                public void onTruncatedHead(ResponseDefect defect) {
                     if (exchange != null) {
-                        exchange.defect = where;
+                        exchange.defect = defect;
                     }
                 }
             });
@@ -164,12 +164,12 @@
          * awaits a response.
          */
         boolean beginInput() {
-            Exchange on = exchange;
-            readingInput = on != null && on.requestStarted && !on.completed;
+            Exchange currentExchange = exchange;
+            readingInput = currentExchange != null && currentExchange.requestStarted && !currentExchange.completed;
             if (!readingInput) {
                 session.close(CloseMode.IMMEDIATE);
-                if (on != null && !on.completed) {
-                    on.failed(null); // its request has not been started
+                if (currentExchange != null && !currentExchange.completed) {
+                    currentExchange.failed(null); // its request has not been started
                 }
             }
             return readingInput;
@@ -182,37 +182,38 @@
          * deduplication window would take effect a second time, whereas an incomplete request is never executed.
          */
         boolean canWriteRequest() {
-            Exchange on = exchange;
-            if (on != null && on.requestStarted && !isRequestWritten() && clock.getAsLong() >= on.call.startDeadline()) {
-                on.failed(null);
+            Exchange currentExchange = exchange;
+            if (currentExchange != null && currentExchange.requestStarted
+                    && !isRequestWritten() && clock.getAsLong() >= currentExchange.call.startDeadline()) {
+                currentExchange.failed(null);
                 return false;
             }
-            boolean may = on == null || on.requestStarted || on.deferredOnce;
-            if (on != null) {
-                on.deferredOnce = true;
+            boolean allowed = currentExchange == null || currentExchange.requestStarted || currentExchange.deferredOnce;
+            if (currentExchange != null) {
+                currentExchange.deferredOnce = true;
             }
-            return may;
+            return allowed;
         }
 
         /** Called when the available input has been read. */
         void endInput() {
             readingInput = false;
-            Exchange on = exchange;
-            if (on != null && on.completed) {
+            Exchange currentExchange = exchange;
+            if (currentExchange != null && currentExchange.completed) {
                 if (responseParser.hasLeftoverBytes()) {
                     session.close(CloseMode.IMMEDIATE);
                 }
-                on.releaseConnection();
-            } else if (on != null) {
-                on.onPartialResponse();
+                currentExchange.releaseConnection();
+            } else if (currentExchange != null) {
+                currentExchange.onPartialResponse();
             }
         }
 
-        void onConnected(IOSession opened, HttpConnection handler) {
-            httpConnection = handler;
-            session = opened;
+        void onConnected(IOSession newSession, HttpConnection newHttpConnection) {
+            httpConnection = newHttpConnection;
+            session = newSession;
             if (discarded) {
-                opened.close(CloseMode.IMMEDIATE);
+                newSession.close(CloseMode.IMMEDIATE);
             }
         }
 
@@ -222,8 +223,9 @@
 
         /** True once all bytes of the current request have been written to the socket. */
         private boolean isRequestWritten() {
-            Exchange on = exchange;
-            return on != null && on.requestStarted && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
+            Exchange currentExchange = exchange;
+            return currentExchange != null && currentExchange.requestStarted
+                    && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
         }
     }
 
@@ -231,28 +233,30 @@
      * Starts a call, whose listener is called once with its result. Returns the connection, for {@link #cancelCall}, or null
      * if the maximum of connections is open and there is no idle one to close for it.
      */
-    public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener sink) {
-        Deque<PooledConnection> free = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
-        for (PooledConnection line = takeIdleConnection(free, now); line != null; line = takeIdleConnection(free, now)) {
-            if (line.isUsable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
-                line.firstCall = false; // ordered before the write of the volatile exchange below
-                line.exchange = new Exchange(line, call, now, sink);
-                line.session.enqueue(line.exchange.createCommand(), Command.Priority.NORMAL);
-                busyConnections.add(line);
-                return line;
-            }
-            discard(line);
+    public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener resultListener) {
+        Deque<PooledConnection> idle = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
+        for (PooledConnection connection = takeIdleConnection(idle, now); connection != null;
+                connection = takeIdleConnection(idle, now)) {
+            if (connection.isUsable() && now - connection.idleSince < limits.idleConnectionTimeoutMicros()) {
+                connection.firstCall = false; // ordered before the write of the volatile exchange below
+                connection.exchange = new Exchange(connection, call, now, resultListener);
+                connection.session.enqueue(connection.exchange.createCommand(), Command.Priority.NORMAL);
+                busyConnections.add(connection);
+                return connection;
+            }
+            discard(connection);
         }
         if (openCount >= limits.maxEndpointConnections() && !peer.exemptFromLimit && !closeOldestIdle()) {
             return null;
         }
-        PooledConnection line = new PooledConnection(peer);
-        line.exchange = new Exchange(line, call, now, sink);
-        busyConnections.add(line);
+        PooledConnection connection = new PooledConnection(peer);
+        connection.exchange = new Exchange(connection, call, now, resultListener);
+        busyConnections.add(connection);
         openCount++;
         counters.add(Counter.CONNECTIONS_OPENED);
-        Exchange exchange = line.exchange;
-        line.pendingConnect = reactor.connect(peer.address, limits.connectTimeoutMicros(), line, new FutureCallback<>() {
+        Exchange exchange = connection.exchange;
+        connection.pendingConnect =
+                reactor.connect(peer.address, limits.connectTimeoutMicros(), connection, new FutureCallback<>() {
             @Override
             public void completed(IOSession session) {
                 session.enqueue(exchange.createCommand(), Command.Priority.NORMAL);
@@ -261,31 +265,31 @@
             @Override
             public void failed(Exception cause) {
                 exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
-                releaseListener.accept(line);
+                releaseListener.accept(connection);
             }
 
             @Override
             public void cancelled() {
                 exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
-                releaseListener.accept(line);
+                releaseListener.accept(connection);
             }
         });
-        return line;
+        return connection;
     }
 
     /**
      * Takes the most recently used connection that has been idle for at least the reuse delay, in which any stray input after
      * its last response arrives; if there is none, the most recently used one.
      */
-    private PooledConnection takeIdleConnection(Deque<PooledConnection> free, long now) {
-        for (Iterator<PooledConnection> last = free.descendingIterator(); last.hasNext();) {
-            PooledConnection line = last.next();
-            if (now - line.idleSince >= limits.connectionReuseDelayMicros()) {
-                last.remove();
-                return line;
+    private PooledConnection takeIdleConnection(Deque<PooledConnection> idle, long now) {
+        for (Iterator<PooledConnection> newestFirst = idle.descendingIterator(); newestFirst.hasNext();) {
+            PooledConnection connection = newestFirst.next();
+            if (now - connection.idleSince >= limits.connectionReuseDelayMicros()) {
+                newestFirst.remove();
+                return connection;
             }
         }
-        return free.pollLast();
+        return idle.pollLast();
     }
 
     /**
@@ -293,21 +297,21 @@
      * true if the connection was never established, so that the call cannot have been executed. Once it is established,
      * this thread cannot know: the last byte may be being written at this very moment.
      */
-    public boolean cancelCall(PooledConnection line) {
-        discard(line);
-        return line.session == null;
+    public boolean cancelCall(PooledConnection connection) {
+        discard(connection);
+        return connection.session == null;
     }
 
     /** Takes back a connection whose call has ended: keeps it for the next call if it is reusable, else closes it. */
-    public void release(PooledConnection line, long now) {
-        busyConnections.remove(line);
-        if (line.isUsable() && !line.discarded && !line.closeAfterCall && !line.peer.removed
+    public void release(PooledConnection connection, long now) {
+        busyConnections.remove(connection);
+        if (connection.isUsable() && !connection.discarded && !connection.closeAfterCall && !connection.peer.removed
                 && limits.idleConnectionTimeoutMicros() > 0) {
-            line.idleSince = now;
-            line.exchange = null;
-            idleConnections.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
+            connection.idleSince = now;
+            connection.exchange = null;
+            idleConnections.computeIfAbsent(connection.peer, p -> new ArrayDeque<>(4)).addLast(connection);
         } else {
-            discard(line);
+            discard(connection);
         }
     }
 
@@ -316,8 +320,8 @@
      * was received but whose connection is established only after it. A call that starts at this very moment is still sent.
      */
     public void withhold(Peer peer) {
-        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null)
-                .forEach(line -> line.exchange.withheld = true);
+        busyConnections.stream().filter(connection -> connection.peer == peer && connection.exchange != null)
+                .forEach(connection -> connection.exchange.withheld = true);
     }
 
     /** Called when a peer is gone from its address: none of its connections is used again. */
@@ -332,24 +336,25 @@
      * and idle for seconds.
      */
     public void closeIdle(Peer peer) {
-        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null && line.exchange.resultDelivered)
-                .forEach(line -> line.closeAfterCall = true);
-        Deque<PooledConnection> free = idleConnections.remove(peer);
-        if (free != null) {
-            free.forEach(this::discard);
+        busyConnections.stream().filter(connection -> connection.peer == peer && connection.exchange != null
+                        && connection.exchange.resultDelivered)
+                .forEach(connection -> connection.closeAfterCall = true);
+        Deque<PooledConnection> idle = idleConnections.remove(peer);
+        if (idle != null) {
+            idle.forEach(this::discard);
         }
     }
 
     /** Closes connections that have been idle for so long that the peer is about to close them, or that are closed already. */
     public void closeExpired(long now) {
-        for (Iterator<Deque<PooledConnection>> all = idleConnections.values().iterator(); all.hasNext();) {
-            Deque<PooledConnection> free = all.next();
-            while (!free.isEmpty() && (now - free.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
-                    || !free.peekFirst().isUsable())) {
-                discard(free.pollFirst());
+        for (Iterator<Deque<PooledConnection>> queueIterator = idleConnections.values().iterator(); queueIterator.hasNext();) {
+            Deque<PooledConnection> idle = queueIterator.next();
+            while (!idle.isEmpty() && (now - idle.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
+                    || !idle.peekFirst().isUsable())) {
+                discard(idle.pollFirst());
             }
-            if (free.isEmpty()) {
-                all.remove();
+            if (idle.isEmpty()) {
+                queueIterator.remove();
             }
         }
     }
@@ -357,14 +362,14 @@
     /** Closes all connections, including those with a call in progress. */
     public void close() {
         List.copyOf(busyConnections).forEach(this::discard);
-        idleConnections.values().forEach(free -> free.forEach(this::discard));
+        idleConnections.values().forEach(idle -> idle.forEach(this::discard));
         idleConnections.clear();
     }
 
     private boolean closeOldestIdle() {
         PooledConnection oldest = null;
-        for (Deque<PooledConnection> free : idleConnections.values()) {
-            PooledConnection first = free.peekFirst();
+        for (Deque<PooledConnection> idle : idleConnections.values()) {
+            PooledConnection first = idle.peekFirst();
             oldest = first != null && (oldest == null || first.idleSince < oldest.idleSince) ? first : oldest;
         }
         if (oldest != null) {
@@ -374,15 +379,15 @@
         return oldest != null;
     }
 
-    private void discard(PooledConnection line) {
-        busyConnections.remove(line);
-        line.discarded = true;
-        openCount -= line.countedAsOpen ? 1 : 0;
-        line.countedAsOpen = false;
-        if (line.pendingConnect != null && line.session == null) {
-            line.pendingConnect.cancel(true);
+    private void discard(PooledConnection connection) {
+        busyConnections.remove(connection);
+        connection.discarded = true;
+        openCount -= connection.countedAsOpen ? 1 : 0;
+        connection.countedAsOpen = false;
+        if (connection.pendingConnect != null && connection.session == null) {
+            connection.pendingConnect.cancel(true);
         }
-        IOSession session = line.session;
+        IOSession session = connection.session;
         if (session != null) {
             session.close(CloseMode.IMMEDIATE);
         }
@@ -410,11 +415,11 @@
         private long responseDeadline; // by when the response has to be complete, on System.nanoTime(), in microseconds
         private ResponseDefect defect = ResponseDefect.NONE;
 
-        Exchange(PooledConnection line, Call call, long decidedAt, Call.ResultListener sink) {
+        Exchange(PooledConnection pooledConnection, Call call, long decidedAt, Call.ResultListener resultListener) {
             this.decidedAt = decidedAt;
-            this.pooledConnection = line;
+            this.pooledConnection = pooledConnection;
             this.call = call;
-            this.resultListener = sink;
+            this.resultListener = resultListener;
             this.requestBody = ByteBuffer.wrap(call.body());
         }
 
@@ -430,8 +435,8 @@
             }
         }
 
-        private void countDefect(ResponseDefect how) {
-            switch (how) {
+        private void countDefect(ResponseDefect resultDefect) {
+            switch (resultDefect) {
                 case NONE -> { }
                 case MISSING -> counters.add(Counter.ANSWERS_MISSING);
                 case CUT_IN_FIRST_LINE, CUT_IN_HEAD, CUT_IN_BODY -> counters.add(Counter.ANSWERS_CUT);
@@ -441,8 +446,8 @@
         }
 
         /** The status line decides the outcome: with 200 the call is done, even if the rest of the response is corrupt. */
-        void onStatusLine(int read) {
-            status = read;
+        void onStatusLine(int newStatus) {
+            status = newStatus;
             retryAfterMicros = 0;
         }
 
@@ -503,13 +508,13 @@
                 throw new IOException("request not sent: withheld, or past its start deadline");
             }
             BasicHttpRequest request = new BasicHttpRequest(call.method(), call.path());
-            int size = call.method().length() + call.path().length() + " ".length() + " HTTP/1.1\r\n".length() + 2;
+            int headBytes = call.method().length() + call.path().length() + " ".length() + " HTTP/1.1\r\n".length() + 2;
             for (int i = 0; i < call.headers().length; i += 2) {
                 request.addHeader(call.headers()[i], call.headers()[i + 1]);
-                size += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
+                headBytes += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
             }
             pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount()
-                    + size + call.body().length;
+                    + headBytes + call.body().length;
             requestStarted = true;
             pooledConnection.session.setSocketTimeout(Timeout.DISABLED);
             channel.sendRequest(request, call.body().length == 0 ? null
@@ -542,15 +547,15 @@
         public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context)
                 throws IOException {
             responseHead = response;
-            Header connection = response.getFirstHeader("Connection");
-            pooledConnection.closeAfterCall = connection != null && connection.getValue().equalsIgnoreCase("close");
+            Header connectionHeader = response.getFirstHeader("Connection");
+            pooledConnection.closeAfterCall = connectionHeader != null && connectionHeader.getValue().equalsIgnoreCase("close");
             if (isDone()) {
                 deliverResult(createResult(null));
             } else if (response.getCode() == 200) {
                 responseBody = ByteBuffer.allocate(limits.ioBufferBytes());
             }
-            int most = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
-            if (entity != null && entity.getContentLength() > most) {
+            int maxBytes = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
+            if (entity != null && entity.getContentLength() > maxBytes) {
                 throw new IOException("response body is too large");
             }
             if (entity == null) {
@@ -562,13 +567,13 @@
          * Called when the response is complete. Only then does a status other than 200 show that the call was not executed.
          */
         private void completeResponse() {
-            byte[] content = null;
+            byte[] body = null;
             if (responseBody != null) {
-                content = new byte[responseBody.flip().remaining()];
-                responseBody.get(content);
+                body = new byte[responseBody.flip().remaining()];
+                responseBody.get(body);
                 responseBody = null;
             }
-            deliverResult(createResult(content));
+            deliverResult(createResult(body));
             complete();
         }
 
@@ -577,10 +582,10 @@
             return status == 429 || status == 503 ? retryAfterMicros : 0;
         }
 
-        private Call.Result createResult(byte[] content) {
-            Header load = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
+        private Call.Result createResult(byte[] body) {
+            Header serverLoad = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
             return new Call.Result(responseHead.getCode(), null, retryAfterMicros, responseHead.containsHeader("X-Line-Busy"),
-                    load == null ? null : load.getValue(), content,
+                    serverLoad == null ? null : serverLoad.getValue(), body,
                     pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
         }
 
@@ -593,11 +598,11 @@
         public void consume(ByteBuffer source) throws IOException {
             if (responseBody != null && !resultDelivered) {
                 if (responseBody.remaining() < source.remaining()) {
-                    int grown = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
-                    if (grown > limits.maxResponseBytes()) {
+                    int newCapacity = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
+                    if (newCapacity > limits.maxResponseBytes()) {
                         throw new IOException("response body is too large");
                     }
-                    responseBody = ByteBuffer.allocate(grown).put(responseBody.flip());
+                    responseBody = ByteBuffer.allocate(newCapacity).put(responseBody.flip());
                 }
                 responseBody.put(source);
             } else if ((discardedBytes += source.remaining()) > limits.maxBodyBytes()) {
--- a/src/main/java/terndyke/node/http/Reactor.java
+++ b/src/main/java/terndyke/node/http/Reactor.java
@@ -75,14 +75,14 @@
         httpConfig = createHttpConfig(limits);
         responseWriterFactory = new DefaultHttpResponseWriterFactory(httpConfig);
         requestWriterFactory = new DefaultHttpRequestWriterFactory(httpConfig);
-        IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
+        IOReactorConfig ioConfig = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMicroseconds(limits.selectIntervalMicros()))
                 .setBacklogSize(limits.listenBacklog()).build();
         connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections()
                 + limits.maxPendingConnections());
-        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, io,
-                work -> createDaemonThread(work, "terndyke-io"), work -> {
-            acceptThread = createDaemonThread(work, "terndyke-accept");
+        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, ioConfig,
+                task -> createDaemonThread(task, "terndyke-io"), task -> {
+            acceptThread = createDaemonThread(task, "terndyke-accept");
             return acceptThread;
         }, null, this::logIoError, null, null, ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, threads -> awaitConnectionPermit());
     }
@@ -110,16 +110,17 @@
                 .setMaxHeaderCount(limits.maxHeaders()).setInitialWindowSize(limits.maxBodyBytes()).build();
     }
 
-    private static Thread createDaemonThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread createDaemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
     private IOEventHandler createEventHandler(ProtocolIOSession session, Object attachment) {
-        if (attachment instanceof ConnectionPool.PooledConnection line) {
-            ClientHttp1IOEventHandler handler = new OutboundEventHandler(line, new OutboundStreamDuplexer(session, line));
-            line.onConnected(session, handler);
+        if (attachment instanceof ConnectionPool.PooledConnection pooledConnection) {
+            ClientHttp1IOEventHandler handler = new OutboundEventHandler(pooledConnection,
+                    new OutboundStreamDuplexer(session, pooledConnection));
+            pooledConnection.onConnected(session, handler);
             return handler;
         }
         return createInboundHandler(session);
@@ -127,9 +128,10 @@
 
     /** Requests and responses on an outbound connection. */
     private final class OutboundStreamDuplexer extends ClientHttp1StreamDuplexer {
-        OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection line) {
+        OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection pooledConnection) {
             super(session, HttpProcessorBuilder.create().build(), httpConfig, CharCodingConfig.DEFAULT,
-                    DefaultConnectionReuseStrategy.INSTANCE, line.createResponseParser(httpConfig), requestWriterFactory.create(),
+                    DefaultConnectionReuseStrategy.INSTANCE, pooledConnection.createResponseParser(httpConfig),
+                    requestWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, null);
         }
 
@@ -143,9 +145,9 @@
 
     /** Requests and responses on a client's connection. */
     private final class InboundStreamDuplexer extends ServerHttp1StreamDuplexer {
-        InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchanges,
+        InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchangeFactory,
                 Http1StreamListener listener) {
-            super(session, HttpProcessorBuilder.create().build(), exchanges, "http", httpConfig, CharCodingConfig.DEFAULT,
+            super(session, HttpProcessorBuilder.create().build(), exchangeFactory, "http", httpConfig, CharCodingConfig.DEFAULT,
                     DefaultConnectionReuseStrategy.INSTANCE, new RequestHeadParser(httpConfig), responseWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, listener, cause -> { });
         }
@@ -162,9 +164,9 @@
     private static final class OutboundEventHandler extends ClientHttp1IOEventHandler {
         private final ConnectionPool.PooledConnection pooledConnection;
 
-        OutboundEventHandler(ConnectionPool.PooledConnection line, ClientHttp1StreamDuplexer duplexer) {
+        OutboundEventHandler(ConnectionPool.PooledConnection pooledConnection, ClientHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.pooledConnection = line;
+            this.pooledConnection = pooledConnection;
         }
 
         @Override
@@ -190,9 +192,9 @@
     private final class InboundEventHandler extends ServerHttp1IOEventHandler {
         private final ClientConnections.ClientConnection clientConnection;
 
-        InboundEventHandler(ClientConnections.ClientConnection visit, ServerHttp1StreamDuplexer duplexer) {
+        InboundEventHandler(ClientConnections.ClientConnection clientConnection, ServerHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.clientConnection = visit;
+            this.clientConnection = clientConnection;
         }
 
         @Override
@@ -230,12 +232,12 @@
 
     private IOEventHandler createInboundHandler(ProtocolIOSession session) {
         counters.add(Counter.CLIENT_CONNECTIONS);
-        ClientConnections.ClientConnection visit = clientConnections.accept(session);
-        if (visit == null) {
+        ClientConnections.ClientConnection clientConnection = clientConnections.accept(session);
+        if (clientConnection == null) {
             counters.add(Counter.TURNED_OUT);
             return new RejectingEventHandler();
         }
-        Http1StreamListener whenAnswered = new Http1StreamListener() {
+        Http1StreamListener streamListener = new Http1StreamListener() {
             @Override
             public void onRequestHead(HttpConnection connection, HttpRequest request) { }
 
@@ -244,11 +246,12 @@
 
             @Override
             public void onExchangeComplete(HttpConnection connection, boolean keepAlive) {
-                visit.onResponseComplete();
+                clientConnection.onResponseComplete();
             }
         };
-        return new InboundEventHandler(visit, new InboundStreamDuplexer(session,
-                (request, context) -> requestHandler.createExchange(visit, clientConnections.isOverCapacity()), whenAnswered));
+        return new InboundEventHandler(clientConnection, new InboundStreamDuplexer(session,
+                (request, context) -> requestHandler.createExchange(clientConnection, clientConnections.isOverCapacity()),
+                streamListener));
     }
 
     /** Handles the connection of a client that exceeds the limit: closes it at once. */
@@ -282,11 +285,11 @@
     }
 
     /** Starts to accept clients on an address. Fails if that does not succeed within the start timeout. */
-    public void listen(InetSocketAddress address, ClientRequestHandler door) throws IOException {
-        this.requestHandler = door;
-        Future<ListenerEndpoint> listening = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
+    public void listen(InetSocketAddress address, ClientRequestHandler handler) throws IOException {
+        this.requestHandler = handler;
+        Future<ListenerEndpoint> listenFuture = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
         try {
-            listening.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
+            listenFuture.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -296,7 +299,7 @@
     }
 
     /** Opens an outbound connection. */
-    Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection line,
+    Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection pooledConnection,
             FutureCallback<IOSession> callback) {
         return ioReactor.connect(new NamedEndpoint() {
             @Override
@@ -308,7 +311,7 @@
             public int getPort() {
                 return address.getPort();
             }
-        }, address, null, Timeout.ofMicroseconds(timeout), line, callback);
+        }, address, null, Timeout.ofMicroseconds(timeout), pooledConnection, callback);
     }
 
     private void logIoError(Exception cause) {
--- a/src/main/java/terndyke/node/http/RequestHeadParser.java
+++ b/src/main/java/terndyke/node/http/RequestHeadParser.java
@@ -26,8 +26,8 @@
     private boolean malformed;
     private boolean requestLineRead; // the request line of a head that is not yet complete
 
-    RequestHeadParser(Http1Config http) {
-        super(http, DefaultHttpRequestFactory.INSTANCE);
+    RequestHeadParser(Http1Config httpConfig) {
+        super(httpConfig, DefaultHttpRequestFactory.INSTANCE);
     }
 
     /** A head is not ended by the end of the input: a client that stops inside one has handed in nothing. */
@@ -59,15 +59,15 @@
     }
 
     private static void checkBodyFraming(HttpRequest request) throws ProtocolException {
-        Header[] lengths = request.getHeaders("Content-Length");
-        Header[] codings = request.getHeaders("Transfer-Encoding");
-        if (lengths.length + codings.length > 1) {
+        Header[] contentLengths = request.getHeaders("Content-Length");
+        Header[] transferEncodings = request.getHeaders("Transfer-Encoding");
+        if (contentLengths.length + transferEncodings.length > 1) {
             throw new ProtocolException("more than one header tells where the body ends");
         }
-        if (lengths.length == 1 && !String.valueOf(lengths[0].getValue()).strip().matches(CONTENT_LENGTH_PATTERN)) {
+        if (contentLengths.length == 1 && !String.valueOf(contentLengths[0].getValue()).strip().matches(CONTENT_LENGTH_PATTERN)) {
             throw new ProtocolException("Content-Length cannot be read");
         }
-        if (codings.length == 1 && (!"chunked".equalsIgnoreCase(String.valueOf(codings[0].getValue()).strip())
+        if (transferEncodings.length == 1 && (!"chunked".equalsIgnoreCase(String.valueOf(transferEncodings[0].getValue()).strip())
                 || request.getVersion() != null && request.getVersion().lessEquals(HttpVersion.HTTP_1_0))) {
             throw new ProtocolException("unknown Transfer-Encoding");
         }
--- a/src/main/java/terndyke/node/http/ResponseHeadParser.java
+++ b/src/main/java/terndyke/node/http/ResponseHeadParser.java
@@ -32,11 +32,11 @@
         void onRetryAfter(String seconds);
 
         /** The input of the connection ended inside the head. */
-        void onTruncatedHead(ResponseDefect where);
+        void onTruncatedHead(ResponseDefect defect);
     }
 
-    ResponseHeadParser(Http1Config http, Listener listener) {
-        super(http, DefaultHttpResponseFactory.INSTANCE);
+    ResponseHeadParser(Http1Config httpConfig, Listener listener) {
+        super(httpConfig, DefaultHttpResponseFactory.INSTANCE);
         this.listener = listener;
     }
 
@@ -47,22 +47,22 @@
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean endOfInput) throws IOException, HttpException {
         input = buffer;
-        HttpResponse head = super.parse(new InspectingInputBuffer(buffer), false);
-        statusLineRead &= head == null;
-        if (head == null && endOfInput && hasLeftoverBytes()) {
+        HttpResponse response = super.parse(new InspectingInputBuffer(buffer), false);
+        statusLineRead &= response == null;
+        if (response == null && endOfInput && hasLeftoverBytes()) {
             inspectTruncatedLine();
             listener.onTruncatedHead(statusLineRead ? ResponseDefect.CUT_IN_HEAD : ResponseDefect.CUT_IN_FIRST_LINE);
             throw new ConnectionClosedException("the connection ended inside the head of a response");
         }
-        return head;
+        return response;
     }
 
     @Override
     protected HttpResponse createMessage(CharArrayBuffer line) throws HttpException {
-        HttpResponse head = super.createMessage(line);
+        HttpResponse response = super.createMessage(line);
         statusLineRead = true;
-        listener.onStatusLine(head.getCode());
-        return head;
+        listener.onStatusLine(response.getCode());
+        return response;
     }
 
     /** True if bytes are left after the last complete response. */
@@ -83,9 +83,9 @@
      * sent, so that waiting for at least this long is right.
      */
     private void inspectTruncatedLine() throws IOException {
-        CharArrayBuffer half = new CharArrayBuffer(RETRY_AFTER_PREFIX.length());
-        if (input.readLine(half, true)) {
-            inspectLine(half);
+        CharArrayBuffer truncatedLine = new CharArrayBuffer(RETRY_AFTER_PREFIX.length());
+        if (input.readLine(truncatedLine, true)) {
+            inspectLine(truncatedLine);
         }
     }
 
@@ -97,11 +97,11 @@
 
         @Override
         public boolean readLine(CharArrayBuffer line, boolean endOfInput) throws IOException {
-            boolean whole = super.readLine(line, endOfInput);
-            if (whole) {
+            boolean complete = super.readLine(line, endOfInput);
+            if (complete) {
                 inspectLine(line);
             }
-            return whole;
+            return complete;
         }
     }
 }
--- a/src/main/java/terndyke/node/http/StrictChunkDecoder.java
+++ b/src/main/java/terndyke/node/http/StrictChunkDecoder.java
@@ -18,9 +18,9 @@
 final class StrictChunkDecoder extends ChunkDecoder {
     private boolean endOfInput;
 
-    StrictChunkDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config http,
+    StrictChunkDecoder(ReadableByteChannel channel, SessionInputBuffer buffer, Http1Config httpConfig,
             BasicHttpTransportMetrics metrics) {
-        super(channel, new CompleteLinesInputBuffer(buffer), http, metrics);
+        super(channel, new CompleteLinesInputBuffer(buffer), httpConfig, metrics);
     }
 
     @Override
--- a/src/test/java/terndyke/node/http/ClientConnectionsTest.java
+++ b/src/test/java/terndyke/node/http/ClientConnectionsTest.java
@@ -30,14 +30,14 @@
 
     private IOSession createSession() {
         return (IOSession) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {IOSession.class},
-                (self, method, given) -> switch (method.getName()) {
-                    case "close" -> closed.add((IOSession) self) ? null : null;
+                (proxy, method, arguments) -> switch (method.getName()) {
+                    case "close" -> closed.add((IOSession) proxy) ? null : null;
                     case "setSocketTimeout" -> {
-                        timeouts.put((IOSession) self, ((Timeout) given[0]).toMicroseconds());
+                        timeouts.put((IOSession) proxy, ((Timeout) arguments[0]).toMicroseconds());
                         yield null;
                     }
-                    case "hashCode" -> System.identityHashCode(self);
-                    case "equals" -> self == given[0];
+                    case "hashCode" -> System.identityHashCode(proxy);
+                    case "equals" -> proxy == arguments[0];
                     default -> null;
                 });
     }
@@ -58,23 +58,23 @@
     @Test
     void aSlowlyArrivingRequestHasOneDeadlineForAllOfIt() {
         IOSession slow = createSession();
-        ClientConnections.ClientConnection visit = clientConnections.accept(slow);
-        visit.onInput();
-        long first = timeouts.get(slow);
+        ClientConnections.ClientConnection connection = clientConnections.accept(slow);
+        connection.onInput();
+        long firstTimeout = timeouts.get(slow);
         now += 1_500_000;
-        visit.onInput();
-        assertEquals(first - 1_500_000, timeouts.get(slow), "another byte does not extend the deadline");
+        connection.onInput();
+        assertEquals(firstTimeout - 1_500_000, timeouts.get(slow), "another byte does not extend the deadline");
         now += 600_000;
-        visit.onInput();
+        connection.onInput();
         assertTrue(closed.contains(slow));
     }
 
     @Test
     void aRequestBegunAfterASilenceEndsWithinThreeSecondsOfConnecting() {
         IOSession late = createSession();
-        ClientConnections.ClientConnection visit = clientConnections.accept(late);
+        ClientConnections.ClientConnection connection = clientConnections.accept(late);
         now += 2_000_000;
-        visit.onInput();
+        connection.onInput();
         assertTrue(now + timeouts.get(late) < 1_000_000 + 3_000_000);
     }
 
@@ -96,10 +96,10 @@
     @Test
     void aClientThatSentARequestKeepsItsConnectionForTwoSeconds() {
         IOSession usual = createSession();
-        ClientConnections.ClientConnection visit = clientConnections.accept(usual);
-        visit.onInput();
-        visit.onRequestComplete();
-        visit.onResponseComplete();
+        ClientConnections.ClientConnection connection = clientConnections.accept(usual);
+        connection.onInput();
+        connection.onRequestComplete();
+        connection.onResponseComplete();
         now += 1_900_000;
         fillToCapacity();
         clientConnections.accept(createSession());
@@ -112,14 +112,14 @@
     @Test
     void aLateResponseIsStillAwaitedAndNoEarlierDeadlineAppliesToTheNextRequest() {
         IOSession usual = createSession();
-        ClientConnections.ClientConnection visit = clientConnections.accept(usual);
-        visit.onInput();
-        visit.onRequestComplete();
+        ClientConnections.ClientConnection connection = clientConnections.accept(usual);
+        connection.onInput();
+        connection.onRequestComplete();
         assertEquals(Timeout.DISABLED.toMicroseconds(), timeouts.get(usual), "a complete request is answered, however late");
-        visit.onInput(); // the selector reported input, but there was none
+        connection.onInput(); // the selector reported input, but there was none
         now += 2_500_000;
-        visit.onResponseComplete();
-        visit.onInput();
+        connection.onResponseComplete();
+        connection.onInput();
         assertTrue(closed.isEmpty());
     }
 
@@ -151,34 +151,34 @@
         assertNull(clientConnections.accept(createSession()));
     }
 
-    private static void runOnOtherThread(Runnable work) throws InterruptedException {
-        Thread other = new Thread(work);
+    private static void runOnOtherThread(Runnable task) throws InterruptedException {
+        Thread other = new Thread(task);
         other.start();
         other.join();
     }
 
     @Test
     void aResponseThatClosesItsConnectionIsWrittenByTheOwnerThread() throws InterruptedException {
-        ClientConnections.ClientConnection visit = clientConnections.accept(createSession());
+        ClientConnections.ClientConnection connection = clientConnections.accept(createSession());
         List<Thread> writers = new ArrayList<>();
-        runOnOtherThread(() -> visit.respondAndClose(() -> writers.add(Thread.currentThread())));
+        runOnOtherThread(() -> connection.respondAndClose(() -> writers.add(Thread.currentThread())));
         assertEquals(List.of(), writers);
-        assertTrue(visit.hasPendingResponses());
-        visit.writePendingResponses();
-        visit.respondAndClose(() -> writers.add(Thread.currentThread()));
+        assertTrue(connection.hasPendingResponses());
+        connection.writePendingResponses();
+        connection.respondAndClose(() -> writers.add(Thread.currentThread()));
         assertEquals(List.of(Thread.currentThread(), Thread.currentThread()), writers);
-        assertFalse(visit.hasPendingResponses());
+        assertFalse(connection.hasPendingResponses());
     }
 
     @Test
     void aResponseOfAnotherThreadIsCountedByTheOwnerThread() throws InterruptedException {
         IOSession client = createSession();
-        ClientConnections.ClientConnection visit = clientConnections.accept(client);
-        visit.onInput();
-        visit.onRequestComplete();
-        long whole = timeouts.get(client);
-        runOnOtherThread(visit::onResponseComplete);
-        assertEquals(whole, timeouts.get(client), "the connection is not changed by another thread");
+        ClientConnections.ClientConnection connection = clientConnections.accept(client);
+        connection.onInput();
+        connection.onRequestComplete();
+        long timeoutBefore = timeouts.get(client);
+        runOnOtherThread(connection::onResponseComplete);
+        assertEquals(timeoutBefore, timeouts.get(client), "the connection is not changed by another thread");
         clientConnections.accept(createSession());
         assertEquals(limits.idleClientTimeoutMicros(), timeouts.get(client));
     }
--- a/src/test/java/terndyke/node/http/ConnectionPoolTest.java
+++ b/src/test/java/terndyke/node/http/ConnectionPoolTest.java
@@ -85,8 +85,8 @@
         return text.toString();
     }
 
-    private static void sendResponse(Socket to, String answer) throws IOException {
-        to.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+    private static void sendResponse(Socket to, String response) throws IOException {
+        to.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
         to.getOutputStream().flush();
     }
 
@@ -140,9 +140,9 @@
             sendResponse(connection, OK_RESPONSE);
             assertEquals(200, awaitResult().status());
             // the owner thread processes the result before this connection is released to it
-            ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS);
+            ConnectionPool.PooledConnection pooledConnection = releasedConnections.poll(30, TimeUnit.SECONDS);
             connectionPool.closeIdle(peer);
-            connectionPool.release(line, 0);
+            connectionPool.release(pooledConnection, 0);
             connection.setSoTimeout(30_000);
             assertTrue(isClosed(connection));
         }
@@ -158,9 +158,9 @@
 
     @Test
     void aRefusedConnectionShowsThatNothingRan() throws Exception {
-        InetSocketAddress nobody = endpointAddress();
+        InetSocketAddress closedAddress = endpointAddress();
         endpoint.close();
-        connectionPool.startCall(new ConnectionPool.Peer(nobody), new Call("POST", "/events", new String[0], BODY), 0,
+        connectionPool.startCall(new ConnectionPool.Peer(closedAddress), new Call("POST", "/events", new String[0], BODY), 0,
                 results::add);
         assertEquals(Ending.NOT_CONNECTED, awaitResult().ending());
     }
@@ -197,10 +197,10 @@
 
     @Test
     void cancellingACallClosesItsConnection() throws Exception {
-        ConnectionPool.PooledConnection line = startCall(BODY, 0);
+        ConnectionPool.PooledConnection pooledConnection = startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
-            assertFalse(connectionPool.cancelCall(line), "the connection was established, so the call may have run");
+            assertFalse(connectionPool.cancelCall(pooledConnection), "the connection was established, so the call may have run");
             connection.setSoTimeout(5_000);
             int end;
             try {
@@ -262,23 +262,23 @@
                 // closed by the node, as expected
             }
         }
-        ConnectionPool.PooledConnection line = releasedConnections.poll(30, TimeUnit.SECONDS);
-        assertTrue(line != null);
+        ConnectionPool.PooledConnection pooledConnection = releasedConnections.poll(30, TimeUnit.SECONDS);
+        assertTrue(pooledConnection != null);
         assertTrue(results.isEmpty());
     }
 
     @Test
     void anIdleConnectionStaysOpenLongerThanTheResponseTimeout() throws Exception {
-        Limits patient = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 15_000_000);
-        connectionPool = new ConnectionPool(reactor, patient, counters, () -> 0, releasedConnections::add);
+        Limits longIdleLimits = Limits.fromResources(192, 1024, 3, 8, 40, 400_000, 15_000_000);
+        connectionPool = new ConnectionPool(reactor, longIdleLimits, counters, () -> 0, releasedConnections::add);
         startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
             sendResponse(connection, OK_RESPONSE);
             awaitResult();
             connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
-            Thread.sleep(patient.responseReadTimeoutMicros() / 1000 + 400);
-            startCall(BODY, patient.responseReadTimeoutMicros());
+            Thread.sleep(longIdleLimits.responseReadTimeoutMicros() / 1000 + 400);
+            startCall(BODY, longIdleLimits.responseReadTimeoutMicros());
             readRequest(connection);
             sendResponse(connection, OK_RESPONSE);
             assertEquals(200, awaitResult().status());
@@ -288,15 +288,15 @@
 
     @Test
     void aCorruptResponseWithStatus200IsDoneAndItsConnectionIsClosed() throws Exception {
-        for (String spoilt : List.of("HTTP/1.1 200 OK\r\n\u0001\u0002 what\r\n\r\n",
+        for (String corrupt : List.of("HTTP/1.1 200 OK\r\n\u0001\u0002 what\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", "HTTP/1.1 200 OK\r\nNever: ends",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1")) {
             startCall(BODY, 0);
             try (Socket connection = endpoint.accept()) {
                 readRequest(connection);
-                sendResponse(connection, spoilt);
-                assertEquals(200, awaitResult().status(), spoilt);
+                sendResponse(connection, corrupt);
+                assertEquals(200, awaitResult().status(), corrupt);
                 assertClosed(connection);
             }
             connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
@@ -314,15 +314,15 @@
 
     @Test
     void aCorruptResponseWithAnyOtherStatusDoesNotProveThatTheCallDidNotRun() throws Exception {
-        for (String spoilt : List.of("HTTP/1.1 2\u0000\u0001\r\n\r\n", "\u0003\u0004\u0005\r\n\r\n",
+        for (String corrupt : List.of("HTTP/1.1 2\u0000\u0001\r\n\r\n", "\u0003\u0004\u0005\r\n\r\n",
                 "HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\n1",
                 "HTTP/1.1 429 No\r\nContent-Length: x\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\nxx",
                 "HTTP/1.1 100 Go\r\n\r\n".repeat(200))) {
             startCall(BODY, 0);
             try (Socket connection = endpoint.accept()) {
                 readRequest(connection);
-                sendResponse(connection, spoilt);
-                assertEquals(Ending.RESET, awaitResult().ending(), spoilt);
+                sendResponse(connection, corrupt);
+                assertEquals(Ending.RESET, awaitResult().ending(), corrupt);
                 assertClosed(connection);
             }
         }
@@ -340,16 +340,16 @@
 
     @Test
     void bytesAfterAResponseAreNeverTakenForTheNextResponse() throws Exception {
-        for (String behind : List.of(OK_RESPONSE, "noise", "HTTP/1.1 200 OK\r\n")) {
-            for (boolean later : List.of(false, true)) {
+        for (String trailingBytes : List.of(OK_RESPONSE, "noise", "HTTP/1.1 200 OK\r\n")) {
+            for (boolean sentLater : List.of(false, true)) {
                 startCall(BODY, 0);
                 try (Socket connection = endpoint.accept()) {
                     readRequest(connection);
-                    sendResponse(connection, OK_RESPONSE + (later ? "" : behind));
+                    sendResponse(connection, OK_RESPONSE + (sentLater ? "" : trailingBytes));
                     assertEquals(200, awaitResult().status());
                     connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
-                    if (later) {
-                        sendResponse(connection, behind);
+                    if (sentLater) {
+                        sendResponse(connection, trailingBytes);
                     }
                     assertClosed(connection);
                 }
@@ -357,7 +357,7 @@
                 try (Socket second = endpoint.accept()) {
                     readRequest(second);
                     sendResponse(second, "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-                    assertEquals(500, awaitResult().status(), behind);
+                    assertEquals(500, awaitResult().status(), trailingBytes);
                 }
                 connectionPool.release(releasedConnections.poll(30, TimeUnit.SECONDS), 0);
             }
@@ -387,9 +387,9 @@
             assertEquals('P', connection.getInputStream().read(), "the request has started before its deadline");
             clock.set(500);
             long read = 1;
-            byte[] some = new byte[1 << 16];
+            byte[] buffer = new byte[1 << 16];
             try {
-                for (int n = 0; n >= 0; n = connection.getInputStream().read(some)) {
+                for (int n = 0; n >= 0; n = connection.getInputStream().read(buffer)) {
                     read += n;
                 }
             } catch (SocketException e) {
@@ -417,15 +417,15 @@
     @CsvSource({"'429 Slow\r\nRetry-After: 0.25\r\nContent-Le', 250000", "'503 Full\r\nretry-AFTER:2\r\n', 2000000",
         "'429 Slow\r\nX: Retry-After: 3\r\nContent-Le', 0", "'429 Slow\r\nRetry-After: 1', 1000000",
         "'429 Slow\r\nRetry-After:', 0", "'500 No\r\nRetry-After: 1\r\n', 0"})
-    void aRetryAfterIsReportedThoughTheResponseHeadIsTruncated(String answer, long wait) throws Exception {
+    void aRetryAfterIsReportedThoughTheResponseHeadIsTruncated(String responseHead, long retryAfterMicros) throws Exception {
         startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
-            sendResponse(connection, "HTTP/1.1 " + answer);
+            sendResponse(connection, "HTTP/1.1 " + responseHead);
         }
         Call.Result result = awaitResult();
         assertEquals(Ending.RESET, result.ending());
-        assertEquals(wait, result.retryAfterMicros());
+        assertEquals(retryAfterMicros, result.retryAfterMicros());
     }
 
     /** The connection is closed gracefully before the response is complete: what was received proves nothing. */
@@ -437,15 +437,15 @@
         "'HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\nno', CUT_IN_BODY",
         "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n', CUT_IN_BODY",
         "'HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0', CUT_IN_BODY", "'', MISSING"})
-    void aTruncatedResponseDoesNotProveThatTheCallDidNotRun(String answer, ResponseDefect flaw) throws Exception {
+    void aTruncatedResponseDoesNotProveThatTheCallDidNotRun(String response, ResponseDefect defect) throws Exception {
         startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
-            sendResponse(connection, answer);
+            sendResponse(connection, response);
             connection.shutdownOutput();
             Call.Result result = awaitResult();
             assertEquals(Ending.RESET, result.ending());
-            assertEquals(flaw, result.defect());
+            assertEquals(defect, result.defect());
         }
     }
 
@@ -453,20 +453,21 @@
     void aCallWithheldBeforeItsConnectionIsUpIsNeverSent() throws Exception {
         endpoint.close();
         endpoint = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        ConnectionPool.Peer full = new ConnectionPool.Peer(endpointAddress());
-        List<Socket> others = new java.util.ArrayList<>();
+        ConnectionPool.Peer peerWithFullBacklog = new ConnectionPool.Peer(endpointAddress());
+        List<Socket> backlog = new java.util.ArrayList<>();
         for (int i = 0; i < 2; i++) { // fills the listen backlog, so that the next connection is not yet established
-            others.add(new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
+            backlog.add(new Socket(endpoint.getInetAddress(), endpoint.getLocalPort()));
         }
         connectionPool = new ConnectionPool(reactor, Limits.fromResources(192, 1024, 3, 8, 40, 5_000_000, 1_000_000), counters,
                 () -> 0, releasedConnections::add);
-        connectionPool.startCall(full, new Call("POST", "/events", new String[] {"Host", "x"}, BODY), 0, results::add);
-        connectionPool.withhold(full);
+        connectionPool.startCall(peerWithFullBacklog, new Call("POST", "/events", new String[] {"Host", "x"}, BODY), 0,
+                results::add);
+        connectionPool.withhold(peerWithFullBacklog);
         for (int i = 0; i < 3; i++) {
             endpoint.accept().close();
         }
         assertEquals(Ending.NOT_SENT, awaitResult().ending());
-        for (Socket other : others) {
+        for (Socket other : backlog) {
             other.close();
         }
     }
@@ -494,14 +495,14 @@
 
     @Test
     void aConnectionToARemovedPeerIsNotReusedHoweverLateItIsReleased() throws Exception {
-        ConnectionPool.PooledConnection line = startCall(BODY, 0);
+        ConnectionPool.PooledConnection pooledConnection = startCall(BODY, 0);
         try (Socket connection = endpoint.accept()) {
             readRequest(connection);
             connectionPool.removePeer(peer);
             sendResponse(connection, OK_RESPONSE);
             assertEquals(200, awaitResult().status());
             releasedConnections.poll(30, TimeUnit.SECONDS);
-            connectionPool.release(line, 0);
+            connectionPool.release(pooledConnection, 0);
             assertClosed(connection);
         }
     }
