--- a/src/main/java/terndyke/node/http/ClientRequestHandler.java
+++ b/src/main/java/terndyke/node/http/ClientRequestHandler.java
@@ -27,7 +27,7 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.Limits;
 
-/** The clients' door: decodes each request once and hands it over, or answers it where it cannot be read. */
+/** Server side of the clients' interface: decodes each request once and submits it to the node, or rejects it if malformed. */
 public final class ClientRequestHandler {
     private final Limits limits;
     private final Counters counters;
@@ -39,27 +39,31 @@
     private final Supplier<Boolean> readinessCheck;
     private volatile boolean closing;
 
+    /**
+     * Creates a handler for clients' requests. submitRequest returns false if the node takes no more requests at the moment;
+     * disconnectListener gets each decoded request whose client disconnects before its response.
+     */
     public ClientRequestHandler(Limits limits, Counters counters, List<String> grades, List<String> tenants, LongSupplier clock,
-            Supplier<Boolean> ready, Predicate<ClientRequest> handOver,
-            Consumer<ClientRequest> whenLeft) {
+            Supplier<Boolean> readinessCheck, Predicate<ClientRequest> submitRequest,
+            Consumer<ClientRequest> disconnectListener) {
         this.limits = limits;
         this.counters = counters;
         this.grades = grades;
         this.tenants = tenants;
         this.clock = clock;
-        this.readinessCheck = ready;
-        this.submitRequest = handOver;
-        this.disconnectListener = whenLeft;
+        this.readinessCheck = readinessCheck;
+        this.submitRequest = submitRequest;
+        this.disconnectListener = disconnectListener;
     }
 
-    /** From now on each answer asks the client to close its connection. */
+    /** From now on each response has the header "Connection: close". */
     public void startClosing() {
         closing = true;
     }
 
-    /** A handler for one request. */
-    AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection visit, boolean crowded) {
-        return new Exchange(visit, crowded);
+    /** Creates the handler of one request. */
+    AsyncServerExchangeHandler createExchange(ClientConnections.ClientConnection clientConnection, boolean overCapacity) {
+        return new Exchange(clientConnection, overCapacity);
     }
 
     private final class Exchange implements AsyncServerExchangeHandler, ClientRequest.Responder {
@@ -69,28 +73,28 @@
         private ByteBuffer requestBody = ByteBuffer.allocate(0);
         private ByteBuffer responseBody;
         private boolean tooLarge;
-        private long discardedBytes; // bytes of a body that nobody wants
-        private final AtomicBoolean responseSettled = new AtomicBoolean(); // by the desk, or the client has left
+        private long discardedBytes; // bytes of a request body that is too large
+        private final AtomicBoolean responseSettled = new AtomicBoolean(); // response chosen, or client gone
         private ClientRequest clientRequest;
         private final ClientConnections.ClientConnection clientConnection;
         private final boolean overCapacity;
 
-        Exchange(ClientConnections.ClientConnection visit, boolean crowded) {
-            this.clientConnection = visit;
-            this.overCapacity = crowded;
+        Exchange(ClientConnections.ClientConnection clientConnection, boolean overCapacity) {
+            this.clientConnection = clientConnection;
+            this.overCapacity = overCapacity;
         }
 
         @Override
-        public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel responses, HttpContext with)
+        public void handleRequest(HttpRequest requestHead, EntityDetails entity, ResponseChannel channel, HttpContext httpContext)
                 throws HttpException, IOException {
-            request = head;
-            responseChannel = responses;
-            context = with;
+            request = requestHead;
+            responseChannel = channel;
+            context = httpContext;
             if (entity != null && entity.getContentLength() > limits.maxBodyBytes()) {
                 rejectTooLarge();
             } else if (entity == null) {
                 processRequest();
-            } else if (head.containsHeader("Expect")) {
+            } else if (requestHead.containsHeader("Expect")) {
                 responseChannel.sendInformation(new BasicHttpResponse(100), context);
             }
         }
@@ -117,12 +121,13 @@
             if (tooLarge) {
                 discardedBytes += source.remaining();
                 source.position(source.limit());
-                if (discardedBytes > limits.maxDiscardedBodyBytes()) { // its answer has long gone out
+                if (discardedBytes > limits.maxDiscardedBodyBytes()) { // the response has been sent long before
                     clientConnection.close();
                 }
             } else {
                 if (requestBody.remaining() < source.remaining()) {
-                    requestBody = ByteBuffer.allocate(Math.max(2 * requestBody.capacity(), requestBody.position() + source.remaining()))
+                    requestBody = ByteBuffer
+                            .allocate(Math.max(2 * requestBody.capacity(), requestBody.position() + source.remaining()))
                             .put(requestBody.flip());
                 }
                 requestBody.put(source);
@@ -150,10 +155,10 @@
             counters.add(Counter.REQUESTS_IN);
             try {
                 clientRequest = decodeRequest(path);
-                Counter why = submitAndGetRefusal();
-                if (why != null) {
+                Counter refusal = submitAndGetRefusal();
+                if (refusal != null) {
                     counters.add(Counter.REFUSED_AT_DOOR);
-                    counters.add(why);
+                    counters.add(refusal);
                     refused(0);
                 }
             } catch (IllegalArgumentException e) {
@@ -162,7 +167,7 @@
             }
         }
 
-        /** Hands the message over; why it is refused, or null where it is not. */
+        /** Submits the request to the node. Returns the counter of the reason for a refusal, or null if it is accepted. */
         private Counter submitAndGetRefusal() {
             if (overCapacity) {
                 return Counter.REFUSED_CROWDED;
@@ -177,37 +182,40 @@
             if (!request.getMethod().equals("POST")) {
                 throw new IllegalArgumentException("only POST hands a record in");
             }
-            int end = path.indexOf('/', 1);
-            int query = path.indexOf('?');
-            int stop = end > 0 ? end : query > 0 ? query : path.length();
-            int grade = grades.indexOf(path.length() > 0 ? path.substring(1, stop) : "");
+            int secondSlash = path.indexOf('/', 1);
+            int queryStart = path.indexOf('?');
+            int gradeEnd = secondSlash > 0 ? secondSlash : queryStart > 0 ? queryStart : path.length();
+            int grade = grades.indexOf(path.length() > 0 ? path.substring(1, gradeEnd) : "");
             if (grade < 0) {
                 throw new IllegalArgumentException("unknown service grade");
             }
             String id = singleHeader("Request-Id");
-            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars() || !id.chars().allMatch(ClientRequestHandler::isVisibleAscii)) {
+            if (id == null || id.isEmpty() || id.length() > limits.maxIdChars()
+                    || !id.chars().allMatch(ClientRequestHandler::isVisibleAscii)) {
                 throw new IllegalArgumentException("Request-Id is missing, too long or not plain");
             }
             int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(singleHeader("Tenant"));
             if (tenant < 0) {
                 throw new IllegalArgumentException("unknown tenant");
             }
-            long remaining = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms", limits.maxRecordTimeoutMicros() / 1000);
+            long timeoutMillis = parseNumber(singleHeader("Request-Timeout-Ms"), "Request-Timeout-Ms",
+                    limits.maxRecordTimeoutMicros() / 1000);
             String consignee = singleHeader("X-Consignee");
-            String dest = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
-            long destination = parseNumber(dest, "X-Consignee", 1 << 24);
-            String retry = singleHeader("Client-Retry");
-            String mark = singleHeader("Idempotency-Key");
-            if (mark != null && (mark.length() > limits.maxIdChars() || !mark.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
+            String destinationText = consignee == null ? null : parseField(consignee, "dest", ",|;|\\s");
+            long destination = parseNumber(destinationText, "X-Consignee", 1 << 24);
+            String clientRetry = singleHeader("Client-Retry");
+            String idempotencyKey = singleHeader("Idempotency-Key");
+            if (idempotencyKey != null && (idempotencyKey.length() > limits.maxIdChars()
+                    || !idempotencyKey.chars().allMatch(ClientRequestHandler::isVisibleAscii))) {
                 throw new IllegalArgumentException("Idempotency-Key is too long or not plain");
             }
-            byte[] content = new byte[requestBody.flip().remaining()];
-            requestBody.get(content);
-            return new ClientRequest(id, grade, tenant, parseKey(), (int) destination, mark,
-                    remaining * 1000, retry != null, "again".equals(retry), content, clock.getAsLong(), this);
+            byte[] body = new byte[requestBody.flip().remaining()];
+            requestBody.get(body);
+            return new ClientRequest(id, grade, tenant, parseKey(), (int) destination, idempotencyKey,
+                    timeoutMillis * 1000, clientRetry != null, "again".equals(clientRetry), body, clock.getAsLong(), this);
         }
 
-        /** The value of a header that may come once, or null where it is not there. */
+        /** The value of a header that may occur once, or null if it is absent. */
         private String singleHeader(String name) {
             Header[] headers = request.getHeaders(name);
             if (headers.length > 1) {
@@ -216,9 +224,9 @@
             return headers.length == 0 ? null : String.valueOf(headers[0].getValue()).strip();
         }
 
-        private long parseNumber(String text, String name, long most) {
+        private long parseNumber(String text, String name, long max) {
             long value = text == null || !text.matches("\\d{1,15}") ? -1 : Long.parseLong(text);
-            if (value < 0 || value > most) {
+            if (value < 0 || value > max) {
                 throw new IllegalArgumentException(name + " is missing or not a number in range");
             }
             return value;
@@ -241,8 +249,8 @@
         }
 
         @Override
-        public void refused(long after) {
-            sendResponse(503, after, false, null);
+        public void refused(long retryAfterMicros) {
+            sendResponse(503, retryAfterMicros, false, null);
         }
 
         @Override
@@ -250,18 +258,18 @@
             sendResponse(status, 0, false, null);
         }
 
-        private void sendResponse(int status, long retryAfter, boolean close, String content) {
+        private void sendResponse(int status, long retryAfterMicros, boolean closeConnection, String bodyText) {
             if (!responseSettled.compareAndSet(false, true)) {
                 return;
             }
             BasicHttpResponse response = new BasicHttpResponse(status);
-            if (retryAfter > 0) {
-                response.addHeader("Retry-After", formatSeconds(retryAfter));
+            if (retryAfterMicros > 0) {
+                response.addHeader("Retry-After", formatSeconds(retryAfterMicros));
             }
-            if (close || closing || overCapacity) {
+            if (closeConnection || closing || overCapacity) {
                 response.addHeader("Connection", "close");
             }
-            responseBody = content == null ? null : ByteBuffer.wrap(content.getBytes(StandardCharsets.UTF_8));
+            responseBody = bodyText == null ? null : ByteBuffer.wrap(bodyText.getBytes(StandardCharsets.UTF_8));
             response.addHeader("Content-Length", responseBody == null ? 0 : responseBody.remaining());
             if (DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context)) {
                 writeResponse(response);
@@ -307,6 +315,7 @@
         }
     }
 
+    /** Formats a time as seconds with three decimals, rounded up to whole milliseconds. */
     static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
@@ -316,22 +325,25 @@
         return character > ' ' && character < 0x7f;
     }
 
-    /** The value of one name in a list of name=value pairs, or null; it may come once. */
-    static String parseField(String pairs, String name, String apart) {
+    /** The value of one name in a list of name=value pairs, or null if it is absent; the name may occur once. */
+    static String parseField(String pairs, String name, String separatorRegex) {
         String value = null;
-        for (String pair : pairs.split(apart)) {
-            String[] sides = pair.strip().split("=", 2);
-            if (sides.length == 2 && sides[0].strip().equals(name)) {
+        for (String pair : pairs.split(separatorRegex)) {
+            String[] nameAndValue = pair.strip().split("=", 2);
+            if (nameAndValue.length == 2 && nameAndValue[0].strip().equals(name)) {
                 if (value != null) {
                     throw new IllegalArgumentException(name + " comes more than once");
                 }
-                value = sides[1].strip();
+                value = nameAndValue[1].strip();
             }
         }
         return value;
     }
 
-    /** A key as the module knows it: 16 hexadecimal digits as they are, anything else by its hash; never 0. */
+    /**
+     * Converts a key to the number that the decision module uses: 16 hexadecimal digits by their value, anything else by the
+     * 64-bit FNV-1a hash of its characters. Never 0, which means no key.
+     */
     static long toKeyNumber(String key) {
         long number = 0xcbf29ce484222325L;
         if (key.length() == 16 && key.matches("[0-9a-fA-F]+")) {
--- a/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
+++ b/src/main/java/terndyke/node/http/CompleteLinesInputBuffer.java
@@ -9,8 +9,8 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * A connection's input in which a line ends by its line end alone. The library also ends it where the input ends, so that a
- * status line, a header or a chunk size that breaks off would count as a whole one.
+ * Input buffer that returns a line only once its line terminator has been read. The library also ends a line at the end of
+ * the input, so that a truncated status line, header or chunk size would count as a complete one.
  */
 class CompleteLinesInputBuffer implements SessionInputBuffer {
     private final SessionInputBuffer input;
@@ -35,8 +35,8 @@
     }
 
     @Override
-    public int fill(ReadableByteChannel from) throws IOException {
-        return input.fill(from);
+    public int fill(ReadableByteChannel source) throws IOException {
+        return input.fill(source);
     }
 
     @Override
@@ -45,22 +45,22 @@
     }
 
     @Override
-    public int read(ByteBuffer to, int most) {
-        return input.read(to, most);
+    public int read(ByteBuffer target, int maxBytes) {
+        return input.read(target, maxBytes);
     }
 
     @Override
-    public int read(ByteBuffer to) {
-        return input.read(to);
+    public int read(ByteBuffer target) {
+        return input.read(target);
     }
 
     @Override
-    public int read(WritableByteChannel to, int most) throws IOException {
-        return input.read(to, most);
+    public int read(WritableByteChannel target, int maxBytes) throws IOException {
+        return input.read(target, maxBytes);
     }
 
     @Override
-    public int read(WritableByteChannel to) throws IOException {
-        return input.read(to);
+    public int read(WritableByteChannel target) throws IOException {
+        return input.read(target);
     }
 }
--- a/src/main/java/terndyke/node/http/ConnectionPool.java
+++ b/src/main/java/terndyke/node/http/ConnectionPool.java
@@ -44,8 +44,9 @@
 import terndyke.node.Limits;
 
 /**
- * The node's own connections, one call at a time on each. All methods belong to one thread, the owner's; what comes
- * back goes to the sinks on the I/O thread, and lines that are free again come back through the given hand.
+ * Pool of the node's outbound HTTP/1.1 connections, with at most one call at a time on each. All methods are called by
+ * one owner thread. Results are delivered to the {@link Call.ResultListener}s on the I/O thread; there, too, the release
+ * listener gets each connection whose call has ended, for the owner to pass to {@link #release}.
  */
 public final class ConnectionPool {
     private final Reactor reactor;
@@ -54,30 +55,31 @@
     private final LongSupplier clock;
     private final Consumer<PooledConnection> releaseListener;
     private final Map<Peer, Deque<PooledConnection>> idleConnections = new HashMap<>();
-    private final Set<PooledConnection> busyConnections = new HashSet<>(); // with a call on them
+    private final Set<PooledConnection> busyConnections = new HashSet<>(); // with a call in progress
     private int openCount;
 
-    public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock, Consumer<PooledConnection> whenFree) {
+    public ConnectionPool(Reactor reactor, Limits limits, Counters counters, LongSupplier clock,
+            Consumer<PooledConnection> releaseListener) {
         this.reactor = reactor;
         this.limits = limits;
         this.counters = counters;
         this.clock = clock;
-        this.releaseListener = whenFree;
+        this.releaseListener = releaseListener;
     }
 
     /**
-     * Whoever answers at an address, for as long as it is that one: what comes to the same address later is another
-     * peer and gets nothing of this one's connections.
+     * The server at an address, for as long as it is the same one. A later server at that address is another peer and
+     * never gets a connection of this one.
      */
     public static final class Peer {
         private final InetSocketAddress address;
-        private final AtomicLong retryAfterReceivedAt; // when a wait was last told by a peer of the same destination
-        private boolean exemptFromLimit; // it gets a connection though all places are taken
+        private final AtomicLong retryAfterReceivedAt; // last Retry-After of any peer of the destination
+        private boolean exemptFromLimit; // may connect although the maximum of connections is open
         private boolean removed;
 
         /**
-         * The platform, whose few calls never wait for a place: guards notices and the watch against endpoints that
-         * take all places by keeping silent. The room for these connections is kept apart in the limits.
+         * A peer of the platform, whose few calls are exempt from the limit on connections. Otherwise endpoints that
+         * never respond could occupy all connections and block notices and the watch. The limits set sockets aside for it.
          */
         public static Peer forPlatform(InetSocketAddress address) {
             Peer peer = new Peer(address);
@@ -89,26 +91,27 @@
             this(address, new AtomicLong());
         }
 
-        /** One of several that tell their waits for all. */
-        public Peer(InetSocketAddress address, AtomicLong toldAt) {
+        /** One of several peers of a destination: a Retry-After from any of them applies to all. */
+        public Peer(InetSocketAddress address, AtomicLong retryAfterReceivedAt) {
             this.address = address;
-            this.retryAfterReceivedAt = toldAt;
+            this.retryAfterReceivedAt = retryAfterReceivedAt;
         }
 
         public InetSocketAddress address() {
             return address;
         }
 
-        /** As a Host header names it. */
+        /** Host and port as the Host header has them. */
         public String hostHeader() {
             return address.getHostString() + ":" + address.getPort();
         }
     }
 
     /**
-     * One connection, with the call that is on it. What comes while no call waits for an answer belongs to none: the
-     * connection goes, and the earlier answer stands. Guards against second copies of an answer and noise behind it,
-     * which would else be taken for the answer to the next call; covers endpoints that close or go mad while idle.
+     * One connection with its current call. Input that arrives while no call awaits a response belongs to no call: the
+     * connection is closed, and the earlier response stands. Otherwise a duplicate of a response, or garbage after it,
+     * would be taken for the response to the next call. The same rule handles endpoints that close the connection or
+     * send garbage while it is idle.
      */
     public final class PooledConnection {
         private final Peer peer;
@@ -117,21 +120,21 @@
         private volatile boolean discarded;
         private Future<IOSession> pendingConnect;
         private volatile Exchange exchange;
-        private volatile boolean closeAfterCall; // the other side closes it
+        private volatile boolean closeAfterCall; // the peer closes it, or closeIdle() has marked it
         private long idleSince;
-        private volatile long requestEndOffset = Long.MAX_VALUE; // bytes that the calls so far come to
+        private volatile long requestEndOffset = Long.MAX_VALUE; // total bytes sent once the current request is written
         private boolean countedAsOpen = true;
         private ResponseHeadParser responseParser;
         private boolean readingInput;
-        private boolean firstCall = true; // the one that is on it is its first
+        private boolean firstCall = true; // the current call is the first on this connection
 
         private PooledConnection(Peer peer) {
             this.peer = peer;
         }
 
-        /** The reader of this connection's answers. */
-        ResponseHeadParser createResponseParser(Http1Config http) {
-            responseParser = new ResponseHeadParser(http, new ResponseHeadParser.Listener() {
+        /** Creates the parser for the heads of the responses on this connection. */
+        ResponseHeadParser createResponseParser(Http1Config httpConfig) {
+            responseParser = new ResponseHeadParser(httpConfig, new ResponseHeadParser.Listener() {
                 @Override
                 public void onStatusLine(int status) {
                     if (exchange != null) {
@@ -147,65 +150,70 @@
                 }
 
                 @Override
-                public void onTruncatedHead(ResponseDefect where) {
+                public void onTruncatedHead(ResponseDefect defect) {
                     if (exchange != null) {
-                        exchange.defect = where;
+                        exchange.defect = defect;
                     }
                 }
             });
             return responseParser;
         }
 
-        /** Bytes, or an end, have come: false where no call waits for them. */
+        /**
+         * Called when input, or the end of input, is ready to be read. Returns false, and closes the connection, if no call
+         * awaits a response.
+         */
         boolean beginInput() {
-            Exchange on = exchange;
-            readingInput = on != null && on.requestStarted && !on.completed;
+            Exchange currentExchange = exchange;
+            readingInput = currentExchange != null && currentExchange.requestStarted && !currentExchange.completed;
             if (!readingInput) {
                 session.close(CloseMode.IMMEDIATE);
-                if (on != null && !on.completed) {
-                    on.failed(null); // its call has not left
+                if (currentExchange != null && !currentExchange.completed) {
+                    currentExchange.failed(null); // its request has not been started
                 }
             }
             return readingInput;
         }
 
         /**
-         * All that has come by now is read before a call leaves: a wait may be in it, or noise on this very line. One of
-         * which bytes are left when it must not start any more is given up: a repeat that is whole only after its window
-         * is a second effect, and one that is never whole does not run.
+         * Whether the request may be started or continued. The first opportunity to write is skipped, so that input that
+         * has already arrived is read first: a Retry-After on any connection, or garbage on this one. A request that is
+         * only partly written at its start deadline is abandoned: a repeated shot that becomes complete after its
+         * deduplication window would take effect a second time, whereas an incomplete request is never executed.
          */
         boolean canWriteRequest() {
-            Exchange on = exchange;
-            if (on != null && on.requestStarted && !isRequestWritten() && clock.getAsLong() >= on.call.startDeadline()) {
-                on.failed(null);
+            Exchange currentExchange = exchange;
+            if (currentExchange != null && currentExchange.requestStarted
+                    && !isRequestWritten() && clock.getAsLong() >= currentExchange.call.startDeadline()) {
+                currentExchange.failed(null);
                 return false;
             }
-            boolean may = on == null || on.requestStarted || on.deferredOnce;
-            if (on != null) {
-                on.deferredOnce = true;
+            boolean allowed = currentExchange == null || currentExchange.requestStarted || currentExchange.deferredOnce;
+            if (currentExchange != null) {
+                currentExchange.deferredOnce = true;
             }
-            return may;
+            return allowed;
         }
 
-        /** What has come has been read. */
+        /** Called when the available input has been read. */
         void endInput() {
             readingInput = false;
-            Exchange on = exchange;
-            if (on != null && on.completed) {
+            Exchange currentExchange = exchange;
+            if (currentExchange != null && currentExchange.completed) {
                 if (responseParser.hasLeftoverBytes()) {
                     session.close(CloseMode.IMMEDIATE);
                 }
-                on.releaseConnection();
-            } else if (on != null) {
-                on.onPartialResponse();
+                currentExchange.releaseConnection();
+            } else if (currentExchange != null) {
+                currentExchange.onPartialResponse();
             }
         }
 
-        void onConnected(IOSession opened, HttpConnection handler) {
-            httpConnection = handler;
-            session = opened;
+        void onConnected(IOSession newSession, HttpConnection newHttpConnection) {
+            httpConnection = newHttpConnection;
+            session = newSession;
             if (discarded) {
-                opened.close(CloseMode.IMMEDIATE);
+                newSession.close(CloseMode.IMMEDIATE);
             }
         }
 
@@ -213,36 +221,42 @@
             return session != null && session.isOpen();
         }
 
-        /** True once all bytes of the calls so far have been written to the socket. */
+        /** True once all bytes of the current request have been written to the socket. */
         private boolean isRequestWritten() {
-            Exchange on = exchange;
-            return on != null && on.requestStarted && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
+            Exchange currentExchange = exchange;
+            return currentExchange != null && currentExchange.requestStarted
+                    && httpConnection.getEndpointDetails().getSentBytesCount() >= requestEndOffset;
         }
     }
 
-    /** Starts a call; the sink hears of it once. Returns what cancel() takes, or null where no socket is left. */
-    public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener sink) {
-        Deque<PooledConnection> free = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
-        for (PooledConnection line = takeIdleConnection(free, now); line != null; line = takeIdleConnection(free, now)) {
-            if (line.isUsable() && now - line.idleSince < limits.idleConnectionTimeoutMicros()) {
-                line.firstCall = false; // read on the I/O thread only after the exchange below is
-                line.exchange = new Exchange(line, call, now, sink);
-                line.session.enqueue(line.exchange.createCommand(), Command.Priority.NORMAL);
-                busyConnections.add(line);
-                return line;
-            }
-            discard(line);
+    /**
+     * Starts a call, whose listener is called once with its result. Returns the connection, for {@link #cancelCall}, or null
+     * if the maximum of connections is open and there is no idle one to close for it.
+     */
+    public PooledConnection startCall(Peer peer, Call call, long now, Call.ResultListener resultListener) {
+        Deque<PooledConnection> idle = idleConnections.getOrDefault(peer, new ArrayDeque<>(0));
+        for (PooledConnection connection = takeIdleConnection(idle, now); connection != null;
+                connection = takeIdleConnection(idle, now)) {
+            if (connection.isUsable() && now - connection.idleSince < limits.idleConnectionTimeoutMicros()) {
+                connection.firstCall = false; // ordered before the write of the volatile exchange below
+                connection.exchange = new Exchange(connection, call, now, resultListener);
+                connection.session.enqueue(connection.exchange.createCommand(), Command.Priority.NORMAL);
+                busyConnections.add(connection);
+                return connection;
+            }
+            discard(connection);
         }
         if (openCount >= limits.maxEndpointConnections() && !peer.exemptFromLimit && !closeOldestIdle()) {
             return null;
         }
-        PooledConnection line = new PooledConnection(peer);
-        line.exchange = new Exchange(line, call, now, sink);
-        busyConnections.add(line);
+        PooledConnection connection = new PooledConnection(peer);
+        connection.exchange = new Exchange(connection, call, now, resultListener);
+        busyConnections.add(connection);
         openCount++;
         counters.add(Counter.CONNECTIONS_OPENED);
-        Exchange exchange = line.exchange;
-        line.pendingConnect = reactor.connect(peer.address, limits.connectTimeoutMicros(), line, new FutureCallback<>() {
+        Exchange exchange = connection.exchange;
+        connection.pendingConnect =
+                reactor.connect(peer.address, limits.connectTimeoutMicros(), connection, new FutureCallback<>() {
             @Override
             public void completed(IOSession session) {
                 session.enqueue(exchange.createCommand(), Command.Priority.NORMAL);
@@ -251,105 +265,111 @@
             @Override
             public void failed(Exception cause) {
                 exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
-                releaseListener.accept(line);
+                releaseListener.accept(connection);
             }
 
             @Override
             public void cancelled() {
                 exchange.deliverResult(Call.Result.withoutResponse(Ending.NOT_CONNECTED));
-                releaseListener.accept(line);
+                releaseListener.accept(connection);
             }
         });
-        return line;
+        return connection;
     }
 
-    /** Takes the line used last of those that have rested for a moment, in which anything behind its answer came. */
-    private PooledConnection takeIdleConnection(Deque<PooledConnection> free, long now) {
-        for (Iterator<PooledConnection> last = free.descendingIterator(); last.hasNext();) {
-            PooledConnection line = last.next();
-            if (now - line.idleSince >= limits.connectionReuseDelayMicros()) {
-                last.remove();
-                return line;
+    /**
+     * Takes the most recently used connection that has been idle for at least the reuse delay, in which any stray input after
+     * its last response arrives; if there is none, the most recently used one.
+     */
+    private PooledConnection takeIdleConnection(Deque<PooledConnection> idle, long now) {
+        for (Iterator<PooledConnection> newestFirst = idle.descendingIterator(); newestFirst.hasNext();) {
+            PooledConnection connection = newestFirst.next();
+            if (now - connection.idleSince >= limits.connectionReuseDelayMicros()) {
+                newestFirst.remove();
+                return connection;
             }
         }
-        return free.pollLast();
+        return idle.pollLast();
     }
 
     /**
-     * Gives up the call on a line by closing the connection; its sink hears nothing more that counts. True where the
-     * connection never came up, so that the call never ran. Once it is up that can't be told from this thread: the
-     * last byte may be on its way at this very moment.
+     * Cancels the call on a connection by closing the connection; any later result of the call is to be ignored. Returns
+     * true if the connection was never established, so that the call cannot have been executed. Once it is established,
+     * this thread cannot know: the last byte may be being written at this very moment.
      */
-    public boolean cancelCall(PooledConnection line) {
-        discard(line);
-        return line.session == null;
+    public boolean cancelCall(PooledConnection connection) {
+        discard(connection);
+        return connection.session == null;
     }
 
-    /** Takes back a line whose call is over, for the next call where it is still open. */
-    public void release(PooledConnection line, long now) {
-        busyConnections.remove(line);
-        if (line.isUsable() && !line.discarded && !line.closeAfterCall && !line.peer.removed && limits.idleConnectionTimeoutMicros() > 0) {
-            line.idleSince = now;
-            line.exchange = null;
-            idleConnections.computeIfAbsent(line.peer, p -> new ArrayDeque<>(4)).addLast(line);
+    /** Takes back a connection whose call has ended: keeps it for the next call if it is reusable, else closes it. */
+    public void release(PooledConnection connection, long now) {
+        busyConnections.remove(connection);
+        if (connection.isUsable() && !connection.discarded && !connection.closeAfterCall && !connection.peer.removed
+                && limits.idleConnectionTimeoutMicros() > 0) {
+            connection.idleSince = now;
+            connection.exchange = null;
+            idleConnections.computeIfAbsent(connection.peer, p -> new ArrayDeque<>(4)).addLast(connection);
         } else {
-            discard(line);
+            discard(connection);
         }
     }
 
     /**
-     * No call to a peer leaves that has not begun to. Guards against calls that were decided on before a wait was
-     * told and whose connection is up only after it; a call that leaves in this very moment still goes.
+     * Prevents all calls to a peer that have not started to send. Meant for calls that were decided on before a Retry-After
+     * was received but whose connection is established only after it. A call that starts at this very moment is still sent.
      */
     public void withhold(Peer peer) {
-        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null)
-                .forEach(line -> line.exchange.withheld = true);
+        busyConnections.stream().filter(connection -> connection.peer == peer && connection.exchange != null)
+                .forEach(connection -> connection.exchange.withheld = true);
     }
 
-    /** A peer has left its address: none of its connections is used again. */
+    /** Called when a peer is gone from its address: none of its connections is used again. */
     public void removePeer(Peer peer) {
         peer.removed = true;
         closeIdle(peer);
     }
 
     /**
-     * Closes the idle connections to a peer, and each whose call is over when the I/O thread hands it back. Guards
-     * against the turn that hears of an answer before its line is free, which else left the line idle for seconds.
+     * Closes the idle connections to a peer, and marks those whose result has been delivered to be closed on release. The
+     * owner thread may process a result before the I/O thread releases its connection, which would otherwise stay open
+     * and idle for seconds.
      */
     public void closeIdle(Peer peer) {
-        busyConnections.stream().filter(line -> line.peer == peer && line.exchange != null && line.exchange.resultDelivered)
-                .forEach(line -> line.closeAfterCall = true);
-        Deque<PooledConnection> free = idleConnections.remove(peer);
-        if (free != null) {
-            free.forEach(this::discard);
+        busyConnections.stream().filter(connection -> connection.peer == peer && connection.exchange != null
+                        && connection.exchange.resultDelivered)
+                .forEach(connection -> connection.closeAfterCall = true);
+        Deque<PooledConnection> idle = idleConnections.remove(peer);
+        if (idle != null) {
+            idle.forEach(this::discard);
         }
     }
 
-    /** Closes what has been idle for so long that the other side is about to. */
+    /** Closes connections that have been idle for so long that the peer is about to close them, or that are closed already. */
     public void closeExpired(long now) {
-        for (Iterator<Deque<PooledConnection>> all = idleConnections.values().iterator(); all.hasNext();) {
-            Deque<PooledConnection> free = all.next();
-            while (!free.isEmpty() && (now - free.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
-                    || !free.peekFirst().isUsable())) {
-                discard(free.pollFirst());
+        for (Iterator<Deque<PooledConnection>> queueIterator = idleConnections.values().iterator(); queueIterator.hasNext();) {
+            Deque<PooledConnection> idle = queueIterator.next();
+            while (!idle.isEmpty() && (now - idle.peekFirst().idleSince >= limits.idleConnectionTimeoutMicros()
+                    || !idle.peekFirst().isUsable())) {
+                discard(idle.pollFirst());
             }
-            if (free.isEmpty()) {
-                all.remove();
+            if (idle.isEmpty()) {
+                queueIterator.remove();
             }
         }
     }
 
-    /** Closes all connections, those with a call on them too. */
+    /** Closes all connections, including those with a call in progress. */
     public void close() {
         List.copyOf(busyConnections).forEach(this::discard);
-        idleConnections.values().forEach(free -> free.forEach(this::discard));
+        idleConnections.values().forEach(idle -> idle.forEach(this::discard));
         idleConnections.clear();
     }
 
     private boolean closeOldestIdle() {
         PooledConnection oldest = null;
-        for (Deque<PooledConnection> free : idleConnections.values()) {
-            PooledConnection first = free.peekFirst();
+        for (Deque<PooledConnection> idle : idleConnections.values()) {
+            PooledConnection first = idle.peekFirst();
             oldest = first != null && (oldest == null || first.idleSince < oldest.idleSince) ? first : oldest;
         }
         if (oldest != null) {
@@ -359,47 +379,47 @@
         return oldest != null;
     }
 
-    private void discard(PooledConnection line) {
-        busyConnections.remove(line);
-        line.discarded = true;
-        openCount -= line.countedAsOpen ? 1 : 0;
-        line.countedAsOpen = false;
-        if (line.pendingConnect != null && line.session == null) {
-            line.pendingConnect.cancel(true);
+    private void discard(PooledConnection connection) {
+        busyConnections.remove(connection);
+        connection.discarded = true;
+        openCount -= connection.countedAsOpen ? 1 : 0;
+        connection.countedAsOpen = false;
+        if (connection.pendingConnect != null && connection.session == null) {
+            connection.pendingConnect.cancel(true);
         }
-        IOSession session = line.session;
+        IOSession session = connection.session;
         if (session != null) {
             session.close(CloseMode.IMMEDIATE);
         }
     }
 
-    /** One call on the I/O thread. */
+    /** The exchange of one call, run on the I/O thread. */
     private final class Exchange implements AsyncClientExchangeHandler {
         private final PooledConnection pooledConnection;
         private final Call call;
         private final Call.ResultListener resultListener;
         private final ByteBuffer requestBody;
         private HttpResponse responseHead;
-        private int status; // of the first line, before the rest of the head is there
-        private long retryAfterMicros; // as a line of the head says it, before the rest is there
+        private int status; // from the status line, known before the head is complete; 0 before that
+        private long retryAfterMicros; // from its header line, known before the head is complete
         private ByteBuffer responseBody;
         private volatile boolean requestStarted;
         private volatile boolean withheld;
         private final long decidedAt;
-        private boolean deferredOnce; // one pass over all connections since the call was put on its line
+        private boolean deferredOnce; // one pass over all connections has been made since the call was queued
         private volatile boolean resultDelivered;
         private volatile boolean completed;
         private boolean released;
-        private int discardedBytes; // bytes of an answer that nobody wants
+        private int discardedBytes; // bytes of the response body that were not kept
         private int informationalResponses;
-        private long responseDeadline; // when the answer has to be whole
+        private long responseDeadline; // by when the response has to be complete, on System.nanoTime(), in microseconds
         private ResponseDefect defect = ResponseDefect.NONE;
 
-        Exchange(PooledConnection line, Call call, long decidedAt, Call.ResultListener sink) {
+        Exchange(PooledConnection pooledConnection, Call call, long decidedAt, Call.ResultListener resultListener) {
             this.decidedAt = decidedAt;
-            this.pooledConnection = line;
+            this.pooledConnection = pooledConnection;
             this.call = call;
-            this.resultListener = sink;
+            this.resultListener = resultListener;
             this.requestBody = ByteBuffer.wrap(call.body());
         }
 
@@ -415,8 +435,8 @@
             }
         }
 
-        private void countDefect(ResponseDefect how) {
-            switch (how) {
+        private void countDefect(ResponseDefect resultDefect) {
+            switch (resultDefect) {
                 case NONE -> { }
                 case MISSING -> counters.add(Counter.ANSWERS_MISSING);
                 case CUT_IN_FIRST_LINE, CUT_IN_HEAD, CUT_IN_BODY -> counters.add(Counter.ANSWERS_CUT);
@@ -425,13 +445,16 @@
             }
         }
 
-        /** The first line decides: what reads 200 is done, however the rest of its answer is spoilt. */
-        void onStatusLine(int read) {
-            status = read;
+        /** The status line decides the outcome: with 200 the call is done, even if the rest of the response is corrupt. */
+        void onStatusLine(int newStatus) {
+            status = newStatus;
             retryAfterMicros = 0;
         }
 
-        /** What was decided without knowing of a wait does not leave, though the rest of its answer may never come. */
+        /**
+         * Takes a Retry-After as soon as its header line is read, since the rest of the response may never arrive: from now on
+         * no call is sent that was decided on without knowing of it.
+         */
         void onRetryAfter(String seconds) {
             pooledConnection.peer.retryAfterReceivedAt.set(clock.getAsLong());
             retryAfterMicros = Math.max(retryAfterMicros, secondsToMicros(seconds));
@@ -441,7 +464,7 @@
             return status == 200 && !call.method().equals("GET");
         }
 
-        /** A part of the answer has come: its rest has to come in time, however it trickles. */
+        /** Called when part of the response has arrived: one deadline applies to all of the rest, however slowly it arrives. */
         void onPartialResponse() {
             long now = System.nanoTime() / 1000;
             responseDeadline = responseDeadline == 0 ? now + limits.responseReadTimeoutMicros() : responseDeadline;
@@ -460,7 +483,7 @@
             if (!completed) {
                 completed = true;
                 if (pooledConnection.session != null) {
-                    pooledConnection.session.setSocketTimeout(Timeout.DISABLED); // idle, it is the desk's to close
+                    pooledConnection.session.setSocketTimeout(Timeout.DISABLED); // the owner thread closes idle connections
                 }
             }
             if (!pooledConnection.readingInput) {
@@ -468,7 +491,7 @@
             }
         }
 
-        /** Hands the line back, once all that came with the answer has been looked at. */
+        /** Hands the connection back, once all input that arrived with the response has been inspected. */
         private void releaseConnection() {
             if (!released) {
                 released = true;
@@ -479,17 +502,19 @@
         @Override
         public void produceRequest(RequestChannel channel, HttpContext context)
                 throws HttpException, IOException {
-            if (withheld || pooledConnection.peer.retryAfterReceivedAt.get() > decidedAt || clock.getAsLong() >= call.startDeadline()) {
-                deliverResult(Call.Result.withoutResponse(Ending.NOT_SENT)); // its connection, or this thread, came too late
-                throw new IOException("call is too late to start");
+            if (withheld || pooledConnection.peer.retryAfterReceivedAt.get() > decidedAt
+                    || clock.getAsLong() >= call.startDeadline()) {
+                deliverResult(Call.Result.withoutResponse(Ending.NOT_SENT)); // the connection, or this thread, was too late
+                throw new IOException("request not sent: withheld, or past its start deadline");
             }
             BasicHttpRequest request = new BasicHttpRequest(call.method(), call.path());
-            int size = call.method().length() + call.path().length() + " ".length() + " HTTP/1.1\r\n".length() + 2;
+            int headBytes = call.method().length() + call.path().length() + " ".length() + " HTTP/1.1\r\n".length() + 2;
             for (int i = 0; i < call.headers().length; i += 2) {
                 request.addHeader(call.headers()[i], call.headers()[i + 1]);
-                size += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
+                headBytes += call.headers()[i].length() + call.headers()[i + 1].length() + 4;
             }
-            pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount() + size + call.body().length;
+            pooledConnection.requestEndOffset = pooledConnection.httpConnection.getEndpointDetails().getSentBytesCount()
+                    + headBytes + call.body().length;
             requestStarted = true;
             pooledConnection.session.setSocketTimeout(Timeout.DISABLED);
             channel.sendRequest(request, call.body().length == 0 ? null
@@ -514,7 +539,7 @@
         @Override
         public void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
             if (++informationalResponses > limits.maxHeaders()) {
-                throw new HttpException("an answer only announced");
+                throw new HttpException("too many informational responses to one request");
             }
         }
 
@@ -522,43 +547,46 @@
         public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context)
                 throws IOException {
             responseHead = response;
-            Header connection = response.getFirstHeader("Connection");
-            pooledConnection.closeAfterCall = connection != null && connection.getValue().equalsIgnoreCase("close");
+            Header connectionHeader = response.getFirstHeader("Connection");
+            pooledConnection.closeAfterCall = connectionHeader != null && connectionHeader.getValue().equalsIgnoreCase("close");
             if (isDone()) {
                 deliverResult(createResult(null));
             } else if (response.getCode() == 200) {
                 responseBody = ByteBuffer.allocate(limits.ioBufferBytes());
             }
-            int most = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
-            if (entity != null && entity.getContentLength() > most) {
-                throw new IOException("answer is too large");
+            int maxBytes = responseBody == null ? limits.maxBodyBytes() : limits.maxResponseBytes();
+            if (entity != null && entity.getContentLength() > maxBytes) {
+                throw new IOException("response body is too large");
             }
             if (entity == null) {
                 completeResponse();
             }
         }
 
-        /** The answer is whole. Only then does anything but 200 say that the call did not run. */
+        /**
+         * Called when the response is complete. Only then does a status other than 200 show that the call was not executed.
+         */
         private void completeResponse() {
-            byte[] content = null;
+            byte[] body = null;
             if (responseBody != null) {
-                content = new byte[responseBody.flip().remaining()];
-                responseBody.get(content);
+                body = new byte[responseBody.flip().remaining()];
+                responseBody.get(body);
                 responseBody = null;
             }
-            deliverResult(createResult(content));
+            deliverResult(createResult(body));
             complete();
         }
 
-        /** A wait counts once its line has been read, however the rest of the answer is spoilt. */
+        /** The Retry-After of a 429 or 503, which counts once its header line has been read, even if the rest is corrupt. */
         private long effectiveRetryAfterMicros() {
             return status == 429 || status == 503 ? retryAfterMicros : 0;
         }
 
-        private Call.Result createResult(byte[] content) {
-            Header load = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
+        private Call.Result createResult(byte[] body) {
+            Header serverLoad = responseHead.countHeaders("Server-Load") == 1 ? responseHead.getFirstHeader("Server-Load") : null;
             return new Call.Result(responseHead.getCode(), null, retryAfterMicros, responseHead.containsHeader("X-Line-Busy"),
-                    load == null ? null : load.getValue(), content, pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
+                    serverLoad == null ? null : serverLoad.getValue(), body,
+                    pooledConnection.closeAfterCall && pooledConnection.firstCall, defect);
         }
 
         @Override
@@ -570,15 +598,15 @@
         public void consume(ByteBuffer source) throws IOException {
             if (responseBody != null && !resultDelivered) {
                 if (responseBody.remaining() < source.remaining()) {
-                    int grown = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
-                    if (grown > limits.maxResponseBytes()) {
-                        throw new IOException("answer is too large");
+                    int newCapacity = Math.max(2 * responseBody.capacity(), responseBody.position() + source.remaining());
+                    if (newCapacity > limits.maxResponseBytes()) {
+                        throw new IOException("response body is too large");
                     }
-                    responseBody = ByteBuffer.allocate(grown).put(responseBody.flip());
+                    responseBody = ByteBuffer.allocate(newCapacity).put(responseBody.flip());
                 }
                 responseBody.put(source);
             } else if ((discardedBytes += source.remaining()) > limits.maxBodyBytes()) {
-                throw new IOException("answer does not end");
+                throw new IOException("discarded part of the response body is too large");
             } else {
                 source.position(source.limit());
             }
@@ -592,7 +620,8 @@
         @Override
         public void failed(Exception cause) {
             deliverResult(isDone() ? new Call.Result(status, null, 0, false, null, null)
-                    : Call.Result.withoutResponse(pooledConnection.isRequestWritten() ? Ending.RESET : Ending.NOT_CONNECTED, effectiveRetryAfterMicros(), classifyDefect(cause)));
+                    : Call.Result.withoutResponse(pooledConnection.isRequestWritten() ? Ending.RESET : Ending.NOT_CONNECTED,
+                            effectiveRetryAfterMicros(), classifyDefect(cause)));
             IOSession session = pooledConnection.session;
             if (session != null) {
                 session.close(CloseMode.IMMEDIATE);
@@ -600,7 +629,7 @@
             complete();
         }
 
-        /** Where an answer that did not come whole ended. */
+        /** How an incomplete response falls short, from how much of it was read. */
         private ResponseDefect classifyDefect(Exception cause) {
             if (defect != ResponseDefect.NONE) {
                 return defect;
@@ -627,7 +656,7 @@
         }
     }
 
-    /** Seconds, whole or decimal, in whole microseconds; 0 where there are none that can be read. */
+    /** Converts seconds, whole or decimal, to whole microseconds; 0 if the text is not a number between 0 and 1e6. */
     static long secondsToMicros(String text) {
         try {
             double seconds = Double.parseDouble(text);
@@ -637,7 +666,7 @@
         }
     }
 
-    /** An address in numbers, or null: names are not looked up. */
+    /** Parses a numeric IP address with port; null for anything else. Host names are not looked up. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+\\]")) {
--- a/src/main/java/terndyke/node/http/Reactor.java
+++ b/src/main/java/terndyke/node/http/Reactor.java
@@ -50,7 +50,7 @@
 import terndyke.node.Limits;
 import terndyke.node.NodeLog;
 
-/** The one I/O thread, for the clients' connections and for the node's own. */
+/** The node's network I/O: one thread for the clients' connections and for the outbound ones, and one that accepts clients. */
 public final class Reactor {
     private static final Object LISTEN_ATTACHMENT = new Object();
 
@@ -62,7 +62,7 @@
     private final ClientConnections clientConnections;
     private final Http1Config httpConfig;
     private final DefaultHttpResponseWriterFactory responseWriterFactory;
-    private final Semaphore connectionPermits; // of clients' connections, from their accept to their close
+    private final Semaphore connectionPermits; // one for each client's connection, from accept to close
     private volatile Thread acceptThread;
     private volatile ClientRequestHandler requestHandler;
     private volatile boolean closing;
@@ -75,20 +75,23 @@
         httpConfig = createHttpConfig(limits);
         responseWriterFactory = new DefaultHttpResponseWriterFactory(httpConfig);
         requestWriterFactory = new DefaultHttpRequestWriterFactory(httpConfig);
-        IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
+        IOReactorConfig ioConfig = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMicroseconds(limits.selectIntervalMicros()))
                 .setBacklogSize(limits.listenBacklog()).build();
-        connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections() + limits.maxPendingConnections());
-        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, io, work -> createDaemonThread(work, "terndyke-io"), work -> {
-            acceptThread = createDaemonThread(work, "terndyke-accept");
+        connectionPermits = new Semaphore(limits.maxClientConnections() + limits.maxExcessClientConnections()
+                + limits.maxPendingConnections());
+        ioReactor = new DefaultListeningIOReactor(this::createEventHandler, ioConfig,
+                task -> createDaemonThread(task, "terndyke-io"), task -> {
+            acceptThread = createDaemonThread(task, "terndyke-accept");
             return acceptThread;
         }, null, this::logIoError, null, null, ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK, threads -> awaitConnectionPermit());
     }
 
     /**
-     * The library asks here which of its I/O threads, of which there is one, gets the next connection. Guards against
-     * clients that come faster than they can be looked at: they would take all descriptors, and the first accept without
-     * one ends the library's listener for good. Those in excess wait in the system's queue.
+     * Called by the library to choose the I/O thread, of which there is one, for the next connection; blocks the accept
+     * thread until a client may be accepted. Without this, clients that connect faster than they are processed could use up
+     * all file descriptors, and the first accept that fails for lack of one ends the library's listener for good. Connections
+     * in excess wait in the operating system's listen backlog.
      */
     private int awaitConnectionPermit() {
         try {
@@ -107,26 +110,28 @@
                 .setMaxHeaderCount(limits.maxHeaders()).setInitialWindowSize(limits.maxBodyBytes()).build();
     }
 
-    private static Thread createDaemonThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread createDaemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
     private IOEventHandler createEventHandler(ProtocolIOSession session, Object attachment) {
-        if (attachment instanceof ConnectionPool.PooledConnection line) {
-            ClientHttp1IOEventHandler handler = new OutboundEventHandler(line, new OutboundStreamDuplexer(session, line));
-            line.onConnected(session, handler);
+        if (attachment instanceof ConnectionPool.PooledConnection pooledConnection) {
+            ClientHttp1IOEventHandler handler = new OutboundEventHandler(pooledConnection,
+                    new OutboundStreamDuplexer(session, pooledConnection));
+            pooledConnection.onConnected(session, handler);
             return handler;
         }
         return createInboundHandler(session);
     }
 
-    /** The messages on a connection of the node's own. */
+    /** Requests and responses on an outbound connection. */
     private final class OutboundStreamDuplexer extends ClientHttp1StreamDuplexer {
-        OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection line) {
+        OutboundStreamDuplexer(ProtocolIOSession session, ConnectionPool.PooledConnection pooledConnection) {
             super(session, HttpProcessorBuilder.create().build(), httpConfig, CharCodingConfig.DEFAULT,
-                    DefaultConnectionReuseStrategy.INSTANCE, line.createResponseParser(httpConfig), requestWriterFactory.create(),
+                    DefaultConnectionReuseStrategy.INSTANCE, pooledConnection.createResponseParser(httpConfig),
+                    requestWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, null);
         }
 
@@ -138,11 +143,11 @@
         }
     }
 
-    /** The messages on a client's connection. */
+    /** Requests and responses on a client's connection. */
     private final class InboundStreamDuplexer extends ServerHttp1StreamDuplexer {
-        InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchanges,
+        InboundStreamDuplexer(ProtocolIOSession session, HandlerFactory<AsyncServerExchangeHandler> exchangeFactory,
                 Http1StreamListener listener) {
-            super(session, HttpProcessorBuilder.create().build(), exchanges, "http", httpConfig, CharCodingConfig.DEFAULT,
+            super(session, HttpProcessorBuilder.create().build(), exchangeFactory, "http", httpConfig, CharCodingConfig.DEFAULT,
                     DefaultConnectionReuseStrategy.INSTANCE, new RequestHeadParser(httpConfig), responseWriterFactory.create(),
                     DefaultContentLengthStrategy.INSTANCE, DefaultContentLengthStrategy.INSTANCE, listener, cause -> { });
         }
@@ -155,13 +160,13 @@
         }
     }
 
-    /** A connection of the node's own. */
+    /** I/O events of an outbound connection. */
     private static final class OutboundEventHandler extends ClientHttp1IOEventHandler {
         private final ConnectionPool.PooledConnection pooledConnection;
 
-        OutboundEventHandler(ConnectionPool.PooledConnection line, ClientHttp1StreamDuplexer duplexer) {
+        OutboundEventHandler(ConnectionPool.PooledConnection pooledConnection, ClientHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.pooledConnection = line;
+            this.pooledConnection = pooledConnection;
         }
 
         @Override
@@ -183,13 +188,13 @@
         }
     }
 
-    /** A client's connection. */
+    /** I/O events of a client's connection. */
     private final class InboundEventHandler extends ServerHttp1IOEventHandler {
         private final ClientConnections.ClientConnection clientConnection;
 
-        InboundEventHandler(ClientConnections.ClientConnection visit, ServerHttp1StreamDuplexer duplexer) {
+        InboundEventHandler(ClientConnections.ClientConnection clientConnection, ServerHttp1StreamDuplexer duplexer) {
             super(duplexer);
-            this.clientConnection = visit;
+            this.clientConnection = clientConnection;
         }
 
         @Override
@@ -200,7 +205,10 @@
             }
         }
 
-        /** Once more where an answer came meanwhile: the library may have taken back the wish to write just then. */
+        /**
+         * Repeats if another thread has added a response meanwhile: the library may have cleared the session's interest in
+         * writing just after that thread set it.
+         */
         @Override
         public void outputReady(IOSession session) throws IOException {
             do {
@@ -224,12 +232,12 @@
 
     private IOEventHandler createInboundHandler(ProtocolIOSession session) {
         counters.add(Counter.CLIENT_CONNECTIONS);
-        ClientConnections.ClientConnection visit = clientConnections.accept(session);
-        if (visit == null) {
+        ClientConnections.ClientConnection clientConnection = clientConnections.accept(session);
+        if (clientConnection == null) {
             counters.add(Counter.TURNED_OUT);
             return new RejectingEventHandler();
         }
-        Http1StreamListener whenAnswered = new Http1StreamListener() {
+        Http1StreamListener streamListener = new Http1StreamListener() {
             @Override
             public void onRequestHead(HttpConnection connection, HttpRequest request) { }
 
@@ -238,14 +246,15 @@
 
             @Override
             public void onExchangeComplete(HttpConnection connection, boolean keepAlive) {
-                visit.onResponseComplete();
+                clientConnection.onResponseComplete();
             }
         };
-        return new InboundEventHandler(visit, new InboundStreamDuplexer(session,
-                (request, context) -> requestHandler.createExchange(visit, clientConnections.isOverCapacity()), whenAnswered));
+        return new InboundEventHandler(clientConnection, new InboundStreamDuplexer(session,
+                (request, context) -> requestHandler.createExchange(clientConnection, clientConnections.isOverCapacity()),
+                streamListener));
     }
 
-    /** A client for whom there is no place: closed at once. */
+    /** Handles the connection of a client that exceeds the limit: closes it at once. */
     private final class RejectingEventHandler implements IOEventHandler {
         @Override
         public void connected(IOSession session) {
@@ -270,16 +279,17 @@
         }
     }
 
+    /** Starts the I/O threads. */
     public void start() {
         ioReactor.start();
     }
 
-    /** Serves clients on an address from now on. */
-    public void listen(InetSocketAddress address, ClientRequestHandler door) throws IOException {
-        this.requestHandler = door;
-        Future<ListenerEndpoint> listening = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
+    /** Starts to accept clients on an address. Fails if that does not succeed within the start timeout. */
+    public void listen(InetSocketAddress address, ClientRequestHandler handler) throws IOException {
+        this.requestHandler = handler;
+        Future<ListenerEndpoint> listenFuture = ioReactor.listen(address, LISTEN_ATTACHMENT, null);
         try {
-            listening.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
+            listenFuture.get(limits.startTimeoutMicros(), TimeUnit.MICROSECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -288,7 +298,8 @@
         }
     }
 
-    Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection line,
+    /** Opens an outbound connection. */
+    Future<IOSession> connect(InetSocketAddress address, long timeout, ConnectionPool.PooledConnection pooledConnection,
             FutureCallback<IOSession> callback) {
         return ioReactor.connect(new NamedEndpoint() {
             @Override
@@ -300,16 +311,16 @@
             public int getPort() {
                 return address.getPort();
             }
-        }, address, null, Timeout.ofMicroseconds(timeout), line, callback);
+        }, address, null, Timeout.ofMicroseconds(timeout), pooledConnection, callback);
     }
 
     private void logIoError(Exception cause) {
         if (!closing) {
-            log.warn("I/O", cause);
+            log.warn("I/O error in the reactor", cause);
         }
     }
 
-    /** Closes idle connections in good order, waits a little for what is under way, and ends. */
+    /** Closes idle connections gracefully, waits for exchanges in progress up to the close timeout, then closes the rest. */
     public void close() throws InterruptedException {
         closing = true;
         ioReactor.initiateShutdown();
