--- a/src/main/java/terndyke/lab/model/EmulatedDestination.java
+++ b/src/main/java/terndyke/lab/model/EmulatedDestination.java
@@ -7,7 +7,10 @@
 
 import terndyke.lab.plan.Experiment.DestinationGroup;
 
-/** One destination: its receivers, the limit they share, and what each hall remembers of carried-out marks. */
+/**
+ * One emulated destination: the rate limit that its receivers share, and for each hall the idempotency keys of the calls
+ * executed there within the deduplication window.
+ */
 public final class EmulatedDestination {
     final int number;
     final DestinationGroup configuration;
@@ -15,7 +18,7 @@
     private final RateLimiter sharedRateLimiter;
     private final Map<Integer, Map<String, Long>> executionTimesByHall = new HashMap<>();
 
-    /** @param window how long a hall drops repeats of a mark, in microseconds */
+    /** @param window how long a hall drops repeated calls with the same idempotency key, in microseconds */
     public EmulatedDestination(int number, DestinationGroup told, long window) {
         this.number = number;
         this.configuration = told;
@@ -31,16 +34,20 @@
         return configuration.apart() ? new RateLimiter(configuration.limit()) : sharedRateLimiter;
     }
 
-    /** Whether that hall has carried this mark out within the window; if not it is remembered from now on. */
+    /**
+     * Returns whether the hall has executed a call with this idempotency key within the deduplication window. If not, the
+     * key is remembered from now on. A null key is never a duplicate.
+     */
     boolean checkAndRememberDuplicate(int hall, String mark, long now) {
         Map<String, Long> memory = executionTimesByHall.computeIfAbsent(hall, some -> new LinkedHashMap<>());
-        for (Iterator<Long> oldest = memory.values().iterator(); oldest.hasNext() && oldest.next() < now - deduplicationWindowMicros;) {
+        for (Iterator<Long> oldest = memory.values().iterator();
+                oldest.hasNext() && oldest.next() < now - deduplicationWindowMicros;) {
             oldest.remove();
         }
         return mark != null && memory.putIfAbsent(mark, now) != null;
     }
 
-    /** What a hall remembers is gone. */
+    /** Clears the executed idempotency keys of a hall. */
     public void clearExecutionTimes(int hall) {
         executionTimesByHall.remove(hall);
     }
--- a/src/main/java/terndyke/lab/model/RateLimiter.java
+++ b/src/main/java/terndyke/lab/model/RateLimiter.java
@@ -2,7 +2,7 @@
 
 import terndyke.lab.plan.Experiment.RateLimit;
 
-/** The calls that one limit lets through: a rate with a burst, or a count in each span of the clock. */
+/** Rate limiter: a token bucket (rate and burst), or a fixed number of calls in each window of the clock. */
 final class RateLimiter {
     private final RateLimit limit;
     private final double burst;
@@ -18,7 +18,7 @@
         tokens = burst;
     }
 
-    /** Whether one more call is let through; only such a one uses it up. */
+    /** Returns whether one more call is allowed now. Only an allowed call uses up a permit. */
     boolean tryAcquire(long now) {
         if (limit == null) {
             return true;
@@ -34,14 +34,14 @@
         return true;
     }
 
-    /** When the next call would be let through, if nobody else came. */
+    /** The time at which the next call would be allowed if no other call came before it. */
     long nextPermitMicros(long now) {
         refill(now);
         return limit.rate() == null ? windowStartMicros + limit.span().micros()
                 : now + (long) Math.ceil((1 - tokens) / limit.rate() * 1e6);
     }
 
-    /** The share that is left. */
+    /** The unused share of the limit, from 0 to 1; 1 where there is no limit. */
     double remainingShare(long now) {
         if (limit == null) {
             return 1;
@@ -50,14 +50,15 @@
         return limit.rate() == null ? 1 - usedInWindow / (double) limit.count() : tokens / burst;
     }
 
-    /** Calls a second; 0 where there is no limit. */
+    /** The allowed calls per second; 0 where there is no limit. */
     double callsPerSecond() {
         return limit == null ? 0 : limit.rate() != null ? limit.rate() : limit.count() / limit.span().seconds();
     }
 
     private void refill(long now) {
         if (limit.rate() != null) {
-            tokens = lastRefillMicros == Long.MIN_VALUE ? burst : Math.min(burst, tokens + (now - lastRefillMicros) / 1e6 * limit.rate());
+            tokens = lastRefillMicros == Long.MIN_VALUE ? burst
+                    : Math.min(burst, tokens + (now - lastRefillMicros) / 1e6 * limit.rate());
             lastRefillMicros = now;
         } else {
             long start = now - Math.floorMod(now, limit.span().micros());
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -16,13 +16,14 @@
 import terndyke.lab.plan.Failure.Kind;
 
 /**
- * One receiver: places, queue, limit, connections, what is wrong with it now, and how it comes back. Times are whole
- * microseconds of the driver's clock and never go back. Whoever drives it calls advance at nextDue.
+ * One receiver: its places (calls executed at the same time), queue, rate limit, connections, active failures, and its
+ * slow start after an outage. Times are whole microseconds of the driver's clock and never go back. The driver calls
+ * {@link #advance} at {@link #nextDueMicros}.
  */
 public final class Receiver {
     private static final double[] NO_REPORT = null;
 
-    /** How a connection that comes is met. */
+    /** What happens to a new connection. */
     public enum ConnectOutcome { ACCEPTED, REFUSED, UNREACHABLE }
 
     private final EmulatedDestination destination;
@@ -37,20 +38,21 @@
     private final PriorityQueue<ScheduledWork> scheduledWork = new PriorityQueue<>(
             Comparator.<ScheduledWork>comparingLong(one -> one.dueMicros).thenComparingLong(one -> one.sequence));
     private final Map<Kind, List<Failure>> activeFailures = new EnumMap<>(Kind.class);
-    private final List<Shot> callsReadWhileHung = new ArrayList<>(); // read while it hung
+    private final List<Shot> callsReadWhileHung = new ArrayList<>();
     private int busyPlaces;
     private int connectionCount;
     private long lastSequence;
-    private long recoveredAtMicros = Long.MIN_VALUE; // when it came back from an outage
+    private long recoveredAtMicros = Long.MIN_VALUE; // end of the last outage
     private long excessUpdatedAtMicros;
-    private double excessCalls; // calls above what it can do, since it came back
+    private double excessCalls; // calls above the tolerated rate since the end of the outage
     private boolean collapsed;
     private boolean rejectsNewCalls;
 
-    /** A piece of work that ends at a time: a call under way, or an answer that only waits for its time. */
+    /** Work that ends at a given time: a call being executed, or a response that is only waiting to be sent. */
     private record ScheduledWork(long dueMicros, long sequence, Shot shot, Response response, boolean occupiesPlace) { }
 
-    public Receiver(EmulatedDestination site, String uid, int index, int hall, ReceiverListener told, UniformRandomProvider chance) {
+    public Receiver(EmulatedDestination site, String uid, int index, int hall, ReceiverListener told,
+            UniformRandomProvider chance) {
         this.destination = site;
         this.uid = uid;
         this.index = index;
@@ -69,7 +71,7 @@
         return uid;
     }
 
-    /** Its place among the receivers of its destination. */
+    /** The receiver's index within its destination. */
     public int index() {
         return index;
     }
@@ -78,7 +80,7 @@
         return hall;
     }
 
-    /** Shots at work and in the queue. */
+    /** Calls that are being executed or queued. */
     public int callsInProgress() {
         return busyPlaces + queue.size();
     }
@@ -87,7 +89,7 @@
         return connectionCount;
     }
 
-    /** What a connection that comes now meets; one that comes up has to be told again once it ends. */
+    /** Opens a connection. For each accepted one the caller calls {@link #connectionClosed} when it ends. */
     public ConnectOutcome openConnection() {
         if (hasFailure(Kind.SILENT) || hasFailure(Kind.NEVER_UP)) {
             return ConnectOutcome.UNREACHABLE;
@@ -103,22 +105,22 @@
         connectionCount--;
     }
 
-    /** Whether its process is gone, so that no connection to it lives. */
+    /** Whether the process is down, so that no connection to it remains open. */
     public boolean isDown() {
         return collapsed || hasFailure(Kind.CRASH);
     }
 
-    /** Whether it reads nothing and writes nothing. */
+    /** Whether the receiver neither reads nor writes. */
     public boolean isSilent() {
         return hasFailure(Kind.SILENT);
     }
 
-    /** Whether a call that has begun to come is cut off by a reset before its last byte. */
+    /** Draws whether a call that has begun to arrive is cut off by a reset before its last byte. */
     public boolean drawRequestReset() {
         return drawFailure(Kind.RESET_BEFORE);
     }
 
-    /** A failure begins here. */
+    /** Starts a failure of this receiver. */
     public void beginFailure(long now, Failure failure) {
         if (failure.kind() == Kind.CRASH || failure.kind() == Kind.SILENT) {
             advance(now);
@@ -129,7 +131,7 @@
         }
     }
 
-    /** A failure is over here. What was an outage leaves a cold receiver behind. */
+    /** Ends a failure of this receiver. After an outage the receiver recovers slowly. */
     public void endFailure(long now, Failure failure) {
         List<Failure> same = activeFailures.get(failure.kind());
         if (same == null || !same.remove(failure)) {
@@ -149,7 +151,7 @@
             default -> { }
         }
         if (failure.kind() == Kind.SILENT) {
-            dropAllCalls(); // its connections are reset when the machine is back
+            dropAllCalls(); // its connections are reset when the machine can be reached again
         }
         if (failure.kind() == Kind.HANG && !hasFailure(Kind.HANG)) {
             List<Shot> waiting = List.copyOf(callsReadWhileHung);
@@ -158,7 +160,7 @@
         }
     }
 
-    /** It takes no new work any more, and never will again. */
+    /** Rejects all new calls from now on, permanently. */
     public void rejectNewCalls() {
         rejectsNewCalls = true;
     }
@@ -170,7 +172,7 @@
         busyPlaces = 0;
     }
 
-    /** A call has come to its last byte. */
+    /** A call has been read to its last byte. */
     public void callReceived(long now, Shot shot) {
         if (updateExcessCalls(now)) {
             return;
@@ -203,19 +205,19 @@
         }
     }
 
-    /** The connection of a call has ended: what still waits is dropped, what is at work goes on. */
+    /** The connection of a call has ended: a call that still waits is dropped, one that is being executed continues. */
     public void callerDisconnected(Shot shot) {
         shot.callerDisconnected = true;
         queue.remove(shot);
         callsReadWhileHung.remove(shot);
     }
 
-    /** When something is due next; Long.MAX_VALUE where nothing is. */
+    /** The time at which work is due next; Long.MAX_VALUE if there is none. */
     public long nextDueMicros() {
         return scheduledWork.isEmpty() || hasFailure(Kind.SILENT) ? Long.MAX_VALUE : scheduledWork.peek().dueMicros;
     }
 
-    /** Carries out what is due by now. */
+    /** Completes the work that is due by the given time and starts queued calls on the places that become free. */
     public void advance(long now) {
         while (nextDueMicros() <= now) {
             ScheduledWork done = scheduledWork.poll();
@@ -244,9 +246,12 @@
             slow *= failure.amount();
         }
         long takes = Math.max(1, Math.round(serviceTime.sampleMicros() * slow));
-        ResponseMode manner = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
-                : drawFailure(Kind.SPOILT) ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
-                : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
+        ResponseMode manner = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE
+                : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
+                : drawFailure(Kind.SPOILT)
+                        ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
+                : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY
+                : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
         scheduleWork(at + takes, shot, createResponse(at, shot, 200, 0, manner), true);
     }
 
@@ -255,16 +260,18 @@
     }
 
     private Response createResponse(long now, Shot shot, int status, long wait, ResponseMode manner) {
-        double[] report = destination.configuration.reports() ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
+        double[] report = destination.configuration.reports()
+                ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
         return new Response(shot, status, wait, manner, report);
     }
 
-    /** The share of its places that it has now: less for a while after an outage. */
+    /** The share of the places that is available now. It is reduced for a while after an outage (slow start). */
     public double availableShare(long now) {
         if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warm = Math.min(1, (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
+        double warm = Math.min(1,
+                (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
         return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warm;
     }
 
@@ -272,14 +279,17 @@
         return Math.max(1, (int) Math.floor(destination.configuration.places() * availableShare(now)));
     }
 
-    /** Calls a second that it can carry out now. */
+    /** The calls per second that the receiver can execute now, from its available places and its rate limit. */
     public double capacityPerSecond(long now) {
         double most = destination.configuration.places() / Math.max(1e-6, destination.configuration.service().mean().seconds());
         double limit = rateLimiter.callsPerSecond();
         return (limit > 0 ? Math.min(limit, most) : most) * availableShare(now);
     }
 
-    /** Rule 4: every call counts, refused ones too; kept above the multiple for the span it falls. True if it has. */
+    /**
+     * Rule 4: a recovering receiver collapses if the calls to it, rejected ones included, keep exceeding fallMultiple times
+     * its current capacity for fallWithin. The excess is counted as in a leaky bucket. Returns whether it has collapsed.
+     */
     private boolean updateExcessCalls(long now) {
         if (collapsed || recoveredAtMicros == Long.MIN_VALUE || availableShare(now) >= 1) {
             return collapsed;
--- a/src/main/java/terndyke/lab/model/ReceiverListener.java
+++ b/src/main/java/terndyke/lab/model/ReceiverListener.java
@@ -1,13 +1,13 @@
 package terndyke.lab.model;
 
-/** Who hears what the model does. */
+/** Callbacks of the receiver model. Times are microseconds. */
 public interface ReceiverListener {
-    /** An answer is due now. */
+    /** A response is due at the given time. */
     void onResponse(Receiver receiver, long now, Response answer);
 
-    /** A call was carried out, or known as a repeat and dropped. */
+    /** A call was executed, or recognized as a duplicate and dropped. */
     void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped);
 
-    /** A receiver that had come back was pushed over. */
+    /** A receiver that was recovering from an outage was overloaded and went down. */
     void onCollapse(Receiver receiver, long now);
 }
--- a/src/main/java/terndyke/lab/model/Response.java
+++ b/src/main/java/terndyke/lab/model/Response.java
@@ -1,16 +1,19 @@
 package terndyke.lab.model;
 
-/** What goes back for a shot, and how: a wait of 0 is none told, a report of null is none given. */
+/**
+ * The response to a shot, and how it is written. A retryAfterMicros of 0 means no Retry-After header, a loadReport of null
+ * means no Server-Load header.
+ */
 public record Response(Shot shot, int status, long retryAfterMicros, ResponseMode mode, double[] loadReport) {
 
-    /** How an answer is written. */
+    /** How a response is written to the connection. */
     public enum ResponseMode {
         COMPLETE, NO_RESPONSE, RESET,
-        /** The first line itself cannot be read. */
+        /** The status line cannot be parsed. */
         MALFORMED_STATUS_LINE,
-        /** The first line reads, what follows does not. */
+        /** The status line can be parsed, the headers cannot. */
         MALFORMED_HEADERS, ENDLESS_BODY, DUPLICATED,
-        /** Whole, and the connection is closed behind it: there are too many. */
+        /** Complete, and the connection is closed after it because the receiver has too many connections. */
         CONNECTION_REJECTED
     }
 }
--- a/src/main/java/terndyke/lab/model/ServiceTime.java
+++ b/src/main/java/terndyke/lab/model/ServiceTime.java
@@ -10,11 +10,14 @@
 import terndyke.lab.plan.Experiment.ServiceTimeDistribution;
 import terndyke.lab.plan.TimeSpan;
 
-/** Draws how long a call's work takes, in whole microseconds. */
+/** Samples the service time of a call, in whole microseconds. */
 public interface ServiceTime {
     long sampleMicros();
 
-    /** The distribution that an experiment names; spread is the share that varies (shifted), or sigma (lognormal). */
+    /**
+     * Creates the distribution that an experiment configures. The spread is the share of the mean that varies (shifted
+     * exponential) or sigma (lognormal).
+     */
     static ServiceTime of(ServiceTimeDistribution told, UniformRandomProvider chance) {
         double mean = told.mean().micros();
         return switch (told.shape()) {
--- a/src/main/java/terndyke/lab/model/Shot.java
+++ b/src/main/java/terndyke/lab/model/Shot.java
@@ -1,6 +1,6 @@
 package terndyke.lab.model;
 
-/** One call as a receiver has it: read to its last byte. Whoever drives the model keeps what it needs behind it. */
+/** One call that a receiver has read completely. The connection is opaque to the model and serves the code that drives it. */
 public final class Shot {
     final String id;
     final String idempotencyKey;
--- a/src/main/java/terndyke/lab/model/package-info.java
+++ b/src/main/java/terndyke/lab/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The receiving side without I/O or clock: what happens is told with its time, and what follows comes out with the time
- * when it is due. Sockets or a virtual clock drive the same objects.
+ * Model of the receivers, without I/O and without a clock of its own: callers pass the time with each input, and outputs
+ * carry the time at which they are due. The same objects can be driven by sockets or by a virtual clock.
  */
 package terndyke.lab.model;
