--- a/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
@@ -34,8 +34,8 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * The agent beside one node: it answers the watch with what has reached it, and takes the notices. What discovery
- * changes reaches it after a delay, in order.
+ * The local agent of one node: it answers the node's watch with the list that it knows, and receives the notices. Changes
+ * at discovery reach it after a delay, in order.
  */
 public final class DiscoveryAgent {
     static final String ACTIVE = "active";
@@ -47,7 +47,7 @@
     private static final byte[] EMPTY_BODY = new byte[0];
 
     private final int node;
-    private static final long OLD_ADDRESS_GRACE_MICROS = 1_500_000; // at an address that it has left, for those who are connected
+    private static final long OLD_ADDRESS_GRACE_MICROS = 1_500_000; // connections to a left address are reset after this time
 
     private final SocketReactor reactor;
     private InetSocketAddress address;
@@ -57,16 +57,18 @@
     private final TaskScheduler scheduler;
     private final long propagationDelayMicros;
     private final Map<String, DiscoveryRegistry.Entry> entries = new LinkedHashMap<>();
-    private final Map<String, DiscoveryRegistry.Entry> removedEntries = new LinkedHashMap<>(); // gone, for those whose version is older
+    /** Removed receivers, reported to watches that ask for changes after an older revision. */
+    private final Map<String, DiscoveryRegistry.Entry> removedEntries = new LinkedHashMap<>();
     private final List<PendingWatch> pendingWatches = new ArrayList<>();
     private final List<Failure> activeFailures = new ArrayList<>();
     private long revision;
     private long lastUpdateDueMicros;
 
-    /** A watch that waits for something newer than a version. */
+    /** A watch that waits for a change after a revision. */
     private record PendingWatch(NodeConnection connection, long afterRevision, long deadlineMicros) { }
 
-    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor net, EventLog logbook, TaskScheduler ticker, long delay) throws IOException {
+    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor net, EventLog logbook, TaskScheduler ticker, long delay)
+            throws IOException {
         this.node = node;
         this.reactor = net;
         this.address = address;
@@ -80,7 +82,7 @@
         return address;
     }
 
-    /** Moves to another address: nobody new is served at the old one, and who is connected there not for long. */
+    /** Moves to another address. The old one accepts no new connections, and those still open are reset after a grace time. */
     public void moveToNewAddress() throws IOException {
         InetSocketAddress next = SocketReactor.findFreeAddress(address().getAddress().getHostAddress());
         ListenerEndpoint opened = reactor.listen(next, NodeConnection::new);
@@ -94,10 +96,12 @@
         scheduler.schedule(TaskScheduler.nowMicros() + OLD_ADDRESS_GRACE_MICROS, () -> left.forEach(RawHttpConnection::reset));
     }
 
-    /** Something changed at discovery; it is heard here after the delay, never before what changed earlier. */
+    /** Schedules a change at discovery to be applied here after the delay, never before an earlier change. */
     synchronized void scheduleUpdate(DiscoveryRegistry.Entry entry) {
-        double later = activeFailures.stream().filter(failure -> failure.kind() == Kind.LIST_LATE).mapToDouble(Failure::amount).sum();
-        lastUpdateDueMicros = Math.max(lastUpdateDueMicros, TaskScheduler.nowMicros() + propagationDelayMicros + Math.round(later * 1e6));
+        double later = activeFailures.stream().filter(failure -> failure.kind() == Kind.LIST_LATE)
+                .mapToDouble(Failure::amount).sum();
+        lastUpdateDueMicros = Math.max(lastUpdateDueMicros,
+                TaskScheduler.nowMicros() + propagationDelayMicros + Math.round(later * 1e6));
         scheduler.schedule(lastUpdateDueMicros, () -> applyUpdate(entry));
     }
 
@@ -110,7 +114,8 @@
             entries.put(entry.uid(), entry);
         }
         if (!hasFailure(Kind.LIST_SILENT)) {
-            eventLog.add(ObservedEvent.ofListEntry(TaskScheduler.nowMicros(), EventType.AGENT_HAS, node, entry.uid(), stateCode(entry)));
+            eventLog.add(ObservedEvent.ofListEntry(TaskScheduler.nowMicros(), EventType.AGENT_HAS, node, entry.uid(),
+                    stateCode(entry)));
         }
         answerPendingWatches();
     }
@@ -126,8 +131,8 @@
     synchronized void endFailure(Failure failure) {
         activeFailures.remove(failure);
         if (!hasFailure(Kind.LIST_SILENT)) {
-            entries.values().forEach(entry -> eventLog.add(
-                    ObservedEvent.ofListEntry(TaskScheduler.nowMicros(), EventType.AGENT_HAS, node, entry.uid(), stateCode(entry))));
+            entries.values().forEach(entry -> eventLog.add(ObservedEvent.ofListEntry(TaskScheduler.nowMicros(),
+                    EventType.AGENT_HAS, node, entry.uid(), stateCode(entry))));
             answerPendingWatches();
         }
     }
@@ -136,7 +141,7 @@
         return activeFailures.stream().anyMatch(failure -> failure.kind() == kind);
     }
 
-    /** The whole list in discovery's form, as a node's configuration holds it. */
+    /** The complete list in discovery's JSON format, as a node's configuration contains it. */
     public synchronized String fullListJson() {
         return listJson(entries.values(), true);
     }
@@ -206,7 +211,8 @@
                 return true;
             }
             watcher.connection.sendResponse(200, listJson(some, whole));
-            some.forEach(entry -> eventLog.add(ObservedEvent.ofListEntry(now, EventType.TOLD, node, entry.uid(), stateCode(entry))));
+            some.forEach(entry -> eventLog.add(
+                    ObservedEvent.ofListEntry(now, EventType.TOLD, node, entry.uid(), stateCode(entry))));
             return true;
         });
     }
@@ -219,10 +225,10 @@
                     JsonNode notice = JSON.readTree(line);
                     String result = notice.path("result").asText();
                     if (!notice.path("ref").isTextual() || !result.equals("dead") && !result.equals("bounced")) {
-                        throw new IOException("no notice");
+                        throw new IOException("invalid notice");
                     }
-                    read.add(new ObservedEvent(TaskScheduler.nowMicros(), EventType.NOTICE, node, notice.path("ref").asText(), 0, null, 0, 0, 0,
-                            notice.path("wait_ms").asLong() * 1000, 0, result, null));
+                    read.add(new ObservedEvent(TaskScheduler.nowMicros(), EventType.NOTICE, node, notice.path("ref").asText(), 0,
+                            null, 0, 0, 0, notice.path("wait_ms").asLong() * 1000, 0, result, null));
                 }
             }
         } catch (IOException e) {
@@ -230,8 +236,8 @@
             return;
         }
         if (hasFailure(Kind.NOTICES_REFUSED)) {
-            read.forEach(sight -> eventLog.add(new ObservedEvent(sight.at(), EventType.NOTICE_REFUSED, node, sight.id(), 0, null, 0, 0, 500, 0,
-                    0, sight.note(), null)));
+            read.forEach(sight -> eventLog.add(new ObservedEvent(sight.at(), EventType.NOTICE_REFUSED, node, sight.id(), 0, null,
+                    0, 0, 500, 0, 0, sight.note(), null)));
             side.sendResponse(500, "");
             return;
         }
@@ -239,7 +245,7 @@
         side.sendResponse(204, "");
     }
 
-    /** A connection of the node to its agent. */
+    /** A connection from the node to its agent. */
     private final class NodeConnection extends RawHttpConnection {
         NodeConnection(IOSession session) {
             super(session);
--- a/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Discovery's own list: what changes when. It tells its agents, each of which learns it later. */
+/** Discovery's own list of receivers. It passes each change to the agents, which apply it after a delay. */
 final class DiscoveryRegistry {
-    /** One state of one receiver; addresses differ by node and are the agent's to fill in. */
-    record Entry(long revision, String uid, ReceiverHost host, String kind, String state, long bootMillis, double capacityHint) { }
+    /** The state of one receiver at one revision. Addresses differ by node and are filled in by the agent. */
+    record Entry(long revision, String uid, ReceiverHost host, String kind, String state, long bootMillis,
+            double capacityHint) { }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<DiscoveryAgent> agents = new ArrayList<>();
@@ -19,7 +20,7 @@
         entries.values().forEach(agent::applyUpdate);
     }
 
-    /** A receiver's state is another one from now on. */
+    /** Publishes a new state of a receiver. */
     synchronized void publishState(String uid, ReceiverHost host, String kind, double hint, String state, long bootMillis) {
         Entry entry = new Entry(++revision, uid, host, kind, state, bootMillis, hint);
         if (state.equals(DiscoveryAgent.LEFT)) {
--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -28,9 +28,9 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** The receiving side on sockets: receivers, discovery, an agent and a sink of notices beside each node. */
+/** Emulates the receiving side on sockets: the receivers, discovery, and for each node an agent that also takes its notices. */
 public final class Emulator implements AutoCloseable {
-    private static final long DRAIN_GRACE_MICROS = 2_500_000; // a receiver that leaves serves on for so long, then turns away
+    private static final long DRAIN_GRACE_MICROS = 2_500_000; // a draining receiver accepts calls for so long, then rejects them
     private static final long DRAIN_REMOVAL_DELAY_MICROS = 4_000_000;
 
     private final Experiment experiment;
@@ -53,14 +53,14 @@
 
         @Override
         public void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped) {
-            eventLog.add(new ObservedEvent(now, dropped ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0, receiver.uid(),
-                    receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
+            eventLog.add(new ObservedEvent(now, dropped ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0,
+                    receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
         }
 
         @Override
         public void onCollapse(Receiver receiver, long now) {
-            eventLog.add(new ObservedEvent(now, EventType.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0,
-                    0, null, null));
+            eventLog.add(new ObservedEvent(now, EventType.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(),
+                    receiver.hall(), 0, 0, 0, null, null));
             scheduler.schedule(now, () -> {
                 findHost(receiver).applyReceiverState();
                 runUnchecked(findHost(receiver)::reopenAddresses);
@@ -73,7 +73,8 @@
     }
 
     /** @param probes whether receivers answer probes */
-    public Emulator(Experiment day, EventLog logbook, SocketReactor net, TaskScheduler ticker, boolean probes) throws IOException {
+    public Emulator(Experiment day, EventLog logbook, SocketReactor net, TaskScheduler ticker, boolean probes)
+            throws IOException {
         this.experiment = day;
         this.eventLog = logbook;
         this.reactor = net;
@@ -95,8 +96,8 @@
             }
         }
         for (int node = 0; node < day.nodes().count(); node++) {
-            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), net, logbook, ticker,
-                    day.list().delay().micros());
+            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), net,
+                    logbook, ticker, day.list().delay().micros());
             agents.add(agent);
             registry.subscribe(agent);
         }
@@ -104,8 +105,9 @@
 
     private Receiver createReceiver(EmulatedDestination site, int index, int hall, ReceiverHost host) {
         RestorableUniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
-        Receiver receiver = new Receiver(site, "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index,
-                hall, receiverListener, own);
+        Receiver receiver = new Receiver(site,
+                "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index, hall,
+                receiverListener, own);
         hostsByReceiver.put(receiver, host);
         return receiver;
     }
@@ -130,19 +132,19 @@
                 return some;
             }
         }
-        throw new IllegalArgumentException("destination " + number);
+        throw new IllegalArgumentException("no destination with number " + number);
     }
 
     public List<DiscoveryAgent> agents() {
         return agents;
     }
 
-    /** How many receivers serve now. */
+    /** The number of receivers. */
     public int receiverCount() {
         return hosts.size();
     }
 
-    /** Slots and queues by destination: calls in hand, connections. */
+    /** The load by destination: the number of calls in progress (executed or queued), and the number of connections. */
     public int[][] loadByDestination() {
         int[][] all = new int[destinations.size()][2];
         for (ReceiverHost host : hosts) {
@@ -155,7 +157,7 @@
         return all;
     }
 
-    /** A failure of receivers or discovery begins; what befalls whom is drawn from the seed and the failure alone. */
+    /** Starts a failure of receivers or discovery. Which receivers it affects depends only on the seed and the failure. */
     public void beginFailure(Failure failure) {
         if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.beginFailure(failure));
@@ -167,18 +169,21 @@
                 case DRAIN -> {
                     publishState(host, DiscoveryAgent.LEAVING, 0);
                     Receiver leaving = host.receiver();
-                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS, () -> host.rejectNewCalls());
-                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
-                        if (host.receiver() == leaving) {
-                            publishState(host, DiscoveryAgent.LEFT, 0);
-                        }
-                    });
+                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS,
+                            () -> host.rejectNewCalls());
+                    scheduler.schedule(
+                            TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
+                                if (host.receiver() == leaving) {
+                                    publishState(host, DiscoveryAgent.LEFT, 0);
+                                }
+                            });
                 }
                 case REPLACE -> runUnchecked(() -> {
                     publishState(host, DiscoveryAgent.LEFT, 0);
                     synchronized (host.receiver().destination()) {
                         Receiver old = host.receiver();
-                        host.startReceiver(createReceiver(old.destination(), old.index(), old.hall(), host), experiment.nodes().count());
+                        host.startReceiver(createReceiver(old.destination(), old.index(), old.hall(), host),
+                                experiment.nodes().count());
                     }
                     publishState(host, DiscoveryAgent.ACTIVE, System.currentTimeMillis());
                 });
@@ -188,7 +193,7 @@
         struck.forEach(host -> runUnchecked(host::reopenAddresses));
     }
 
-    /** A failure that began here is over. */
+    /** Ends a failure that beginFailure started. */
     public void endFailure(Failure failure) {
         if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.endFailure(failure));
@@ -203,7 +208,7 @@
         return IntStream.range(0, agents.size()).filter(failure::affectsNode).mapToObj(agents::get).toList();
     }
 
-    /** The same machines each time it is asked. */
+    /** The hosts that a failure affects; each call with the same failure returns the same hosts. */
     private List<ReceiverHost> findAffectedHosts(Failure failure) {
         UniformRandomProvider drawn = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
                 + failure.kind().ordinal());
@@ -225,7 +230,7 @@
         try {
             act.run();
         } catch (IOException e) {
-            throw new IllegalStateException("the emulator's sockets: " + e.getMessage(), e);
+            throw new IllegalStateException("emulator socket operation failed: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/terndyke/lab/emulate/ReceiverHost.java
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -29,13 +29,13 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * A machine that receivers run on, one after another: an address for each node, and the sockets of the receiver that
- * runs on it now. All of its destination's machines share one lock, the site's.
+ * A host on which receivers run, one after another. It has one address for each node, and the sockets of the receiver that
+ * runs on it now. All hosts of a destination share one lock, the {@link terndyke.lab.model.EmulatedDestination}.
  */
 final class ReceiverHost {
     private static final AtomicLong LAST_CALL_NUMBER = new AtomicLong();
     private static final byte[] ENDLESS_BODY_CHUNK = new byte[32 << 10];
-    private static final int ENDLESS_BODY_LIMIT_BYTES = 8 << 20; // then even an endless answer is cut
+    private static final int ENDLESS_BODY_LIMIT_BYTES = 8 << 20; // then even an endless response ends, by a reset
     private static final byte[] EMPTY_BODY = new byte[0];
 
     private final SocketReactor reactor;
@@ -50,7 +50,7 @@
     private final Set<NodeConnection> connections = new HashSet<>();
     private Receiver receiver;
     private ConnectOutcome connectOutcome = ConnectOutcome.REFUSED;
-    private boolean addressesOutdated; // its addresses are not yet as it meets connections
+    private boolean addressesOutdated; // the listeners do not match connectOutcome yet
     private long nextAdvanceMicros = Long.MAX_VALUE;
 
     ReceiverHost(SocketReactor net, TaskScheduler ticker, EventLog logbook, Object lock, String hallName, boolean probes) {
@@ -82,7 +82,7 @@
         return receiver;
     }
 
-    /** Serves with this receiver from now on; whoever was there before is gone with its connections. */
+    /** Runs this receiver from now on. The connections of the previous one are reset. */
     void startReceiver(Receiver next, int nodes) throws IOException {
         synchronized (lock) {
             receiver = next;
@@ -98,11 +98,11 @@
         }
     }
 
-    /** Closes what no longer meets connections as the receiver does now; reopen does the rest. */
+    /** Closes the listeners if the outcome of new connections has changed; {@link #reopenAddresses} opens them anew. */
     private void updateConnectOutcome() {
         ConnectOutcome now = receiver.openConnection();
         if (now == ConnectOutcome.ACCEPTED) {
-            receiver.connectionClosed(); // it was only asked
+            receiver.connectionClosed(); // openConnection counted a connection that does not exist
         }
         if (now != connectOutcome) {
             connectOutcome = now;
@@ -114,7 +114,10 @@
         }
     }
 
-    /** Opens or cuts off the addresses where they changed. Apart from meet, since a closed listener is gone only later. */
+    /**
+     * Opens the addresses, or makes them unreachable, if connectOutcome has changed. Separate from
+     * {@link #updateConnectOutcome}, since a closed listener releases its address only later.
+     */
     void reopenAddresses() throws IOException {
         synchronized (lock) {
             if (!addressesOutdated) {
@@ -126,7 +129,8 @@
                 switch (connectOutcome) {
                     case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(from),
                             session -> new NodeConnection(session, from))));
-                    case UNREACHABLE -> unreachableAddresses.add(retryOnIoException(() -> new UnreachableAddress(addresses.get(from))));
+                    case UNREACHABLE -> unreachableAddresses.add(
+                            retryOnIoException(() -> new UnreachableAddress(addresses.get(from))));
                     default -> { }
                 }
             }
@@ -137,7 +141,7 @@
         T get() throws IOException;
     }
 
-    /** The old listener's socket goes with the next pass of its selector. */
+    /** Retries opening an address, since the socket of a closed listener is released only with its selector's next pass. */
     private static <T> T retryOnIoException(IoSupplier<T> opening) throws IOException {
         IOException last = null;
         for (int i = 0; i < 200; i++) {
@@ -192,7 +196,7 @@
         }
     }
 
-    /** After anything that changes what it is: its connections and addresses follow. */
+    /** Adapts the connections and addresses after a change of the receiver's state. */
     void applyReceiverState() {
         if (receiver.isDown()) {
             List.copyOf(connections).forEach(RawHttpConnection::reset);
@@ -204,7 +208,8 @@
     }
 
     private void logEvent(EventType what, String note) {
-        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0, 0, note, null));
+        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0,
+                0, note, null));
     }
 
     private void scheduleAdvance() {
@@ -231,7 +236,7 @@
         }
     }
 
-    /** Writes an answer that is due. */
+    /** Writes a response that is due, unless its call is no longer pending. */
     void sendResponse(Response answer) {
         NodeConnection side = (NodeConnection) answer.shot().connection();
         if (side.pendingCall != null && side.pendingCall.shot == answer.shot()) {
@@ -239,10 +244,10 @@
         }
     }
 
-    /** A call that waits for its answer. */
+    /** A call that waits for its response. */
     private record PendingCall(long callNumber, Shot shot) { }
 
-    /** A node's connection. */
+    /** A connection from a node to the receiver. */
     private final class NodeConnection extends RawHttpConnection {
         private final int node;
         private final Receiver connectedReceiver;
@@ -261,7 +266,8 @@
         @Override
         protected void onOpen() {
             synchronized (lock) {
-                countedByReceiver = connectedReceiver == receiver && connectedReceiver.openConnection() == ConnectOutcome.ACCEPTED;
+                countedByReceiver =
+                        connectedReceiver == receiver && connectedReceiver.openConnection() == ConnectOutcome.ACCEPTED;
                 if (!countedByReceiver) {
                     reset();
                     return;
@@ -290,7 +296,8 @@
                 handleCall(message);
             } else if (answersProbes && message.method().equals("GET")) {
                 synchronized (lock) {
-                    write(RawHttpMessage.encode(connectedReceiver.callsInProgress() < 1_000 ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 -", "", EMPTY_BODY));
+                    write(RawHttpMessage.encode(
+                            connectedReceiver.callsInProgress() < 1_000 ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 -", "", EMPTY_BODY));
                 }
             } else {
                 write(RawHttpMessage.encode("HTTP/1.1 404 -", "", EMPTY_BODY));
@@ -319,8 +326,9 @@
         }
 
         private void logEvent(EventType what, int status, long toldWait, long began, String note) {
-            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber, connectedReceiver.uid(), connectedReceiver.destination().number(),
-                    connectedReceiver.hall(), status, toldWait, began, note, null));
+            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber,
+                    connectedReceiver.uid(), connectedReceiver.destination().number(), connectedReceiver.hall(), status, toldWait,
+                    began, note, null));
         }
 
         private void sendResponse(Response answer) {
@@ -336,7 +344,8 @@
                 case MALFORMED_HEADERS -> {
                     logEvent(EventType.CALL_ANSWERED, 200, 0, 0);
                     pendingCall = null;
-                    write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002".getBytes(StandardCharsets.ISO_8859_1));
+                    write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002"
+                            .getBytes(StandardCharsets.ISO_8859_1));
                     close();
                 }
                 case ENDLESS_BODY -> {
@@ -369,7 +378,8 @@
                 if (taken) {
                     write(ENDLESS_BODY_CHUNK);
                 }
-                scheduler.schedule(TaskScheduler.nowMicros() + 2_000, () -> continueEndlessBody(written + (taken ? ENDLESS_BODY_CHUNK.length : 0)));
+                scheduler.schedule(TaskScheduler.nowMicros() + 2_000,
+                        () -> continueEndlessBody(written + (taken ? ENDLESS_BODY_CHUNK.length : 0)));
             } else {
                 reset();
             }
@@ -378,7 +388,8 @@
         private byte[] encodeResponse(Response answer) {
             StringBuilder fields = new StringBuilder();
             if (answer.retryAfterMicros() > 0) {
-                fields.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", answer.retryAfterMicros() / 1e6)).append("\r\n");
+                fields.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", answer.retryAfterMicros() / 1e6))
+                        .append("\r\n");
             }
             if (answer.loadReport() != null) {
                 fields.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", answer.loadReport()[0],
--- a/src/main/java/terndyke/lab/load/EmulatedClients.java
+++ b/src/main/java/terndyke/lab/load/EmulatedClients.java
@@ -26,13 +26,13 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * The clients of a day: one hands in each record when it is due, waits its patience for the answer, and hands in again
- * under a new id where it was refused or left without an answer. Records of one key go one after another. A client's
- * connections are kept, and more are opened when all are busy.
+ * The clients of an experiment. Each record is handed in when it is due; the client waits for the response for the
+ * configured patience and hands the record in again under a new id if it was refused or got no response. Records of one
+ * key are handed in one after another. Connections are kept open, and more are opened when all are busy.
  */
 public final class EmulatedClients {
     private static final long FOREIGN_REQUEST_LEAD_MICROS = 3_000;
-    private static final long CLOSE_RACE_WINDOW_MICROS = 50_000; // a closing may cross a request for so long
+    private static final long CLOSE_RACE_WINDOW_MICROS = 50_000; // for so long a node's close may cross a request
     private static final String BODY = "x".repeat(1 << 16);
 
     private final Experiment experiment;
@@ -45,7 +45,8 @@
     private final List<ArrayDeque<ClientConnection>> idleConnections;
     private final AtomicInteger[] connectionCounts;
     private final boolean[] nodeUnavailable;
-    private final Map<String, ArrayDeque<PendingRecord>> waitingByKey = new HashMap<>(); // waiting behind the first of their key
+    /** Records that wait until the earlier record of their key is finished. */
+    private final Map<String, ArrayDeque<PendingRecord>> waitingByKey = new HashMap<>();
     private final UniformRandomProvider random;
     private final Histogram latencyFromDue = new Histogram(1, 600_000_000L, 3);
     private final Histogram latencyFromSent = new Histogram(1, 600_000_000L, 3);
@@ -58,7 +59,7 @@
     private int unansweredCount;
     private int handedInCount;
 
-    /** A message on its way to be taken on; the same one over all its tries. */
+    /** A record that is not yet accepted or given up; the same object over all attempts to hand it in. */
     private final class PendingRecord {
         final int recordNumber;
         final Arrival arrival;
@@ -87,7 +88,8 @@
         }
     }
 
-    public EmulatedClients(Experiment day, SocketReactor net, TaskScheduler ticker, EventLog logbook, List<InetSocketAddress> nodes) {
+    public EmulatedClients(Experiment day, SocketReactor net, TaskScheduler ticker, EventLog logbook,
+            List<InetSocketAddress> nodes) {
         this.experiment = day;
         this.reactor = net;
         this.scheduler = ticker;
@@ -104,32 +106,32 @@
         }
     }
 
-    /** The front has noticed that a node is away, or that it serves again. */
+    /** The load balancer in front of the nodes has noticed that a node is unavailable, or available again. */
     public synchronized void setNodeUnavailable(int node, boolean isAway) {
         nodeUnavailable[node] = isAway;
     }
 
-    /** Messages whose tries are not over. */
+    /** The number of records that are not yet accepted or given up. */
     public synchronized int openRecordCount() {
         return openRecordCount;
     }
 
-    /** What came of the messages at the doors: handed in at least once, taken, refused for good, failed, unanswered. */
+    /** The numbers of records handed in at least once, accepted, finally refused, failed and unanswered, in this order. */
     public synchronized int[] handInCounts() {
         return new int[] {handedInCount, acceptedCount, refusedCount, failedCount, unansweredCount};
     }
 
-    /** From when a record was due to its 202, in microseconds, over all records that were taken on. */
+    /** The time from when a record was due to its 202, in microseconds, over all accepted records. */
     public Histogram latencyFromDue() {
         return latencyFromDue;
     }
 
-    /** The same from when it was sent, as closed-loop tools count. */
+    /** The time from when a record was sent to its 202, in microseconds, as closed-loop tools measure it. */
     public Histogram latencyFromSent() {
         return latencyFromSent;
     }
 
-    /** While it is above 0, that share of the records is preceded by a foreign request under their id. */
+    /** Sets the share of the records that are preceded by a foreign request under the same id; 0 for none. */
     public synchronized void setForeignRequestShare(MisbehavingClients sends, double share) {
         misbehavingClients = sends;
         foreignRequestShare = share;
@@ -139,7 +141,7 @@
         return foreignRequestShare > 0 && random.nextDouble() < foreignRequestShare;
     }
 
-    /** A message is due. Extra ones, such as a flood's, count in the rules and not in the result. */
+    /** A record is due. Extra records, such as those of a flood, are subject to the rules but do not count in the result. */
     public void recordDue(int message, Arrival arrival, long due, boolean extra) {
         PendingRecord hand = new PendingRecord(message, arrival, due, extra);
         synchronized (this) {
@@ -158,7 +160,8 @@
     }
 
     private synchronized int chooseNode(PendingRecord hand) {
-        int first = Math.floorMod(hand.arrival.key() != null ? hand.arrival.key().hashCode() : hand.recordNumber, nodeUnavailable.length);
+        int first = Math.floorMod(hand.arrival.key() != null ? hand.arrival.key().hashCode() : hand.recordNumber,
+                nodeUnavailable.length);
         for (int i = 0; i < nodeUnavailable.length; i++) {
             int node = (first + i) % nodeUnavailable.length;
             if (!nodeUnavailable[node]) {
@@ -192,13 +195,17 @@
             return;
         }
         connectionCounts[node].incrementAndGet();
-        reactor.connect(nodeAddresses.get(node), experiment.clients().patience().micros(), session -> new ClientConnection(session, node, hand, id), () -> {
-            connectionCounts[node].decrementAndGet();
-            retryOrFinish(hand, null, 0); // never handed in: no answer is owed
-        });
+        reactor.connect(nodeAddresses.get(node), experiment.clients().patience().micros(),
+                session -> new ClientConnection(session, node, hand, id), () -> {
+                    connectionCounts[node].decrementAndGet();
+                    retryOrFinish(hand, null, 0); // never handed in, so no response is missing
+                });
     }
 
-    /** Hands in again where that is allowed and there is time; a retry of null marks nothing. */
+    /**
+     * Hands the record in again if that is allowed and there is time, else finishes it. The retry is the value of the header
+     * Client-Retry for the next attempt; null leaves the header as it was.
+     */
     private void retryOrFinish(PendingRecord hand, String retry, long toldWait) {
         long at = TaskScheduler.nowMicros() + Math.max(experiment.clients().again().micros(), toldWait);
         boolean again = hand.attempts < experiment.clients().tries() && at < hand.deadlineMicros()
@@ -211,7 +218,7 @@
         }
     }
 
-    /** The message's tries are over: 2 taken, 1 refused, 0 without an answer, -1 failed. */
+    /** Finishes a record: 2 accepted, 1 refused, 0 without a response, -1 failed. */
     private void finish(PendingRecord hand, int how) {
         PendingRecord next = null;
         synchronized (this) {
@@ -254,14 +261,14 @@
             sendRequest(pendingRecord, handed.id());
         }
 
-        /** Sends a record; its time counts from now. */
+        /** Sends a record; the client's patience starts now. */
         void sendRequest(PendingRecord one, String id) {
             long now = TaskScheduler.nowMicros();
             long left = Math.max(1, one.deadlineMicros() - now);
             boolean marked = one.serviceGrade().effect() == RepeatSemantics.DEDUPLICATED;
-            HandedInRecord out = new HandedInRecord(id, one.recordNumber, node, one.gradeIndex, one.tenantIndex, one.arrival.key(),
-                    one.arrival.destination(), marked ? idempotencyKey(one.recordNumber) : null, one.dueMicros, now, left / 1000 * 1000,
-                    one.arrival.bytes(), one.extra);
+            HandedInRecord out = new HandedInRecord(id, one.recordNumber, node, one.gradeIndex, one.tenantIndex,
+                    one.arrival.key(), one.arrival.destination(), marked ? idempotencyKey(one.recordNumber) : null,
+                    one.dueMicros, now, left / 1000 * 1000, one.arrival.bytes(), one.extra);
             synchronized (this) {
                 pendingRecord = one;
                 handed = out;
@@ -376,12 +383,14 @@
                 return;
             }
             long now = TaskScheduler.nowMicros();
-            if (hasReceivedResponse && !carriesResend && now - mine.sent() < CLOSE_RACE_WINDOW_MICROS) { // the closing crossed the request
+            // the node's close crossed the request
+            if (hasReceivedResponse && !carriesResend && now - mine.sent() < CLOSE_RACE_WINDOW_MICROS) {
                 eventLog.add(ObservedEvent.ofClient(now, EventType.SENT_ONCE_MORE, mine, 0, null));
                 resend(one, mine.id());
                 return;
             }
-            eventLog.add(ObservedEvent.ofClient(now, EventType.BROKEN, mine, 0, hasReceivedResponse ? "owed" : "first request of its connection"));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.BROKEN, mine, 0,
+                    hasReceivedResponse ? "owed" : "first request of its connection"));
             retryOrFinish(one, "again", 0);
         }
 
@@ -393,7 +402,8 @@
                 return side;
             }, () -> {
                 connectionCounts[node].decrementAndGet();
-                eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0, "its second connection never came up"));
+                eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0,
+                        "its second connection never came up"));
                 retryOrFinish(one, "again", 0);
             });
         }
--- a/src/main/java/terndyke/lab/load/LoadGenerator.java
+++ b/src/main/java/terndyke/lab/load/LoadGenerator.java
@@ -14,8 +14,9 @@
 import terndyke.lab.wire.SocketReactor;
 
 /**
- * Sends a schedule to one address, open loop: each request is due at its time whatever the answers do, and its time runs
- * from then. A request for which no connection is free waits, and that wait counts too.
+ * Open-loop load generator: sends a schedule of requests to one address. Each request is due at its scheduled time,
+ * independent of the responses, and its latency is measured from then. A request for which no connection is free waits,
+ * and its latency includes that wait.
  */
 public final class LoadGenerator {
     private static final long MAX_LATENCY_MICROS = 600_000_000L;
@@ -35,10 +36,10 @@
     private long acceptedCount;
     private long brokenCount;
 
-    /** A request that is due: its time in microseconds. */
+    /** A request that is due and has not been answered. */
     private record PendingRequest(Arrival arrival, long dueMicros) { }
 
-    /** What came of it. */
+    /** The result of a run. */
     public record Result(int offered, long answered, long accepted, long broken, int unanswered, Histogram latencyFromDue,
             Histogram latencyFromSent, Histogram lateness, double seconds) { }
 
@@ -48,7 +49,7 @@
         this.maxConnections = connections;
     }
 
-    /** Opens connections ahead of the first due time, so that opening them is no part of the measurement. */
+    /** Opens connections before the first due time, so that the measurement does not include connection setup. */
     public void openConnections(int many) throws InterruptedException {
         synchronized (this) {
             for (int i = 0; i < Math.min(many, maxConnections); i++) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Runs a schedule and waits for what is still out at its end, for that long at most. */
+    /** Runs a schedule, then waits for the outstanding responses for at most patienceMicros. */
     public Result run(List<Arrival> arrivals, long patienceMicros) throws InterruptedException {
         long start = System.nanoTime() / 1000 + 50_000;
         int ran = pacer.run(arrivals.size(), i -> (start + arrivals.get(i).due()) * 1000,
@@ -76,8 +77,8 @@
             while (unfinishedRequestCount > 0 && System.nanoTime() / 1000 < end) {
                 wait(20);
             }
-            return new Result(ran, answeredCount, acceptedCount, brokenCount, unfinishedRequestCount, latencyFromDue.copy(), latencyFromSent.copy(), pacer.lateness(),
-                    (System.nanoTime() / 1000 - start) / 1e6);
+            return new Result(ran, answeredCount, acceptedCount, brokenCount, unfinishedRequestCount, latencyFromDue.copy(),
+                    latencyFromSent.copy(), pacer.lateness(), (System.nanoTime() / 1000 - start) / 1e6);
         }
     }
 
--- a/src/main/java/terndyke/lab/load/LoadGeneratorCheck.java
+++ b/src/main/java/terndyke/lab/load/LoadGeneratorCheck.java
@@ -18,8 +18,8 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * Checks the load tool on the machine at hand, against stand-ins whose delays are known: every percentile has to be
- * within 2% or 1 ms of what the schedule and the delays imply.
+ * Checks the load generator on the current machine against servers with known delays: every percentile must be within 2%
+ * or 1 ms, whichever is larger, of the value that the schedule and the delays imply.
  */
 public final class LoadGeneratorCheck {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
@@ -33,7 +33,7 @@
         this.out = out;
     }
 
-    /** All checks; true where each holds. */
+    /** Runs all checks; returns whether all passed. */
     public boolean run() throws IOException, InterruptedException {
         checkStall(500, 10_000_000, 4_000_000, 2_000_000, 16);
         checkKnownDelays();
@@ -41,13 +41,17 @@
         return passed;
     }
 
-    /** A run of the tool, and how long the stand-in really took for its answers. */
+    /** The result of a run, and the delays that the server really had. */
     private record Measurement(LoadGenerator.Result result, Histogram serverDelays) { }
 
-    /** Loads a stand-in that answers as told; what is to be done just ahead of the first due time is done then. */
+    /**
+     * Loads a server whose response times are given as a function of the request's arrival time. The preparation runs just
+     * before the first due time.
+     */
     private static Measurement measure(int connections, List<Arrival> arrivals, long patience, Runnable ahead,
             LongUnaryOperator answerAt) throws IOException, InterruptedException {
-        try (TaskScheduler ticker = new TaskScheduler("terndyke-lab-proof"); SocketReactor net = new SocketReactor("terndyke-lab-proof", 1);
+        try (TaskScheduler ticker = new TaskScheduler("terndyke-lab-proof");
+                SocketReactor net = new SocketReactor("terndyke-lab-proof", 1);
                 SocketReactor serving = new SocketReactor("terndyke-lab-served", 1)) {
             InetSocketAddress address = SocketReactor.findFreeAddress("127.0.0.1");
             try (KnownDelayServer receiver = new KnownDelayServer(address, serving, ticker, answerAt)) {
@@ -67,17 +71,18 @@
         return arrivals;
     }
 
-    /** A server that answers in 5 ms stands still for a while; few connections, as a closed loop would have. */
+    /** A server that answers in 5 ms stalls for a while. The connections are few, as in a closed-loop test. */
     void checkStall(double rate, long length, long at, long lasts, int connections) throws IOException, InterruptedException {
         AtomicLong stallFrom = new AtomicLong(Long.MAX_VALUE);
         long service = 5_000;
         out.printf(Locale.ROOT, "stall of %.1f s in %.0f s at %.0f/s, %d connections%n", lasts / 1e6, length / 1e6, rate,
                 connections);
         List<Arrival> arrivals = constantRateArrivals(rate, length);
-        LoadGenerator.Result run = measure(connections, arrivals, 10_000_000, () -> stallFrom.set(TaskScheduler.nowMicros() + 50_000 + at), now -> {
-            long from = stallFrom.get();
-            return now + service > from && now < from + lasts ? from + lasts : now + service;
-        }).result;
+        LoadGenerator.Result run = measure(connections, arrivals, 10_000_000,
+                () -> stallFrom.set(TaskScheduler.nowMicros() + 50_000 + at), now -> {
+                    long from = stallFrom.get();
+                    return now + service > from && now < from + lasts ? from + lasts : now + service;
+                }).result;
         long[] implied = expectedLatencies(arrivals, at, lasts, service, connections);
         checkPercentiles("from due", run.latencyFromDue(), implied);
         out.printf(Locale.ROOT, "  from sent, for comparison: p99 %.1f ms, p99.9 %.1f ms, max %.1f ms%n",
@@ -88,7 +93,10 @@
         out.printf("  counting from the sending %s%n", hidden ? "hides the stall at p99" : "does not hide the stall: FAILED");
     }
 
-    /** What the schedule implies: each request waits for the first connection that is free. */
+    /**
+     * The sorted latencies, in microseconds from the due times, that the schedule and the stall imply: each request waits for
+     * the first free connection.
+     */
     static long[] expectedLatencies(List<Arrival> arrivals, long at, long lasts, long service, int connections) {
         long[] free = new long[connections];
         long[] times = new long[arrivals.size()];
@@ -107,7 +115,7 @@
         return times;
     }
 
-    /** Delays of 2, 10, 50 and 200 ms, each on its share of the requests. */
+    /** Delays of 2, 10, 50 and 200 ms, each for a fixed share of the requests. */
     private void checkKnownDelays() throws IOException, InterruptedException {
         out.println("delays of about 2 ms (60%), 10 ms (35%), 50 ms (4.5%) and 200 ms (0.5%) at 1000/s");
         AtomicInteger number = new AtomicInteger();
@@ -140,11 +148,12 @@
         }
     }
 
-    /** The highest rate that the tool keeps on time against a receiver that answers at once. */
+    /** Prints lateness and latencies at rising rates, to show up to which rate the load generator sends on time. */
     private void measureRates() throws IOException, InterruptedException {
         out.println("rates against a receiver that answers at once (the tool's lateness and answers from due, ms)");
         for (double rate : new double[] {1_000, 5_000, 10_000, 15_000, 20_000, 30_000}) {
-            LoadGenerator.Result run = measure(64, constantRateArrivals(rate, 5_000_000), 5_000_000, () -> { }, now -> now).result;
+            LoadGenerator.Result run =
+                    measure(64, constantRateArrivals(rate, 5_000_000), 5_000_000, () -> { }, now -> now).result;
             out.printf(Locale.ROOT, "  %6.0f/s: late p99 %.3f, p99.9 %.3f, max %.3f; answered p50 %.3f, p99 %.3f, max "
                     + "%.3f; %d of %d answered%n", rate, run.lateness().getValueAtPercentile(99) / 1e3,
                     run.lateness().getValueAtPercentile(99.9) / 1e3, run.lateness().getMaxValue() / 1e3,
--- a/src/main/java/terndyke/lab/load/MisbehavingClients.java
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -15,7 +15,10 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** Clients that do harm for a while: they trickle, say nothing, or send what cannot be read. They hand in nothing. */
+/**
+ * Clients that misbehave during a failure: they send requests byte by byte, connect and send nothing, or send malformed or
+ * oversized requests. None of these is a record of the schedule.
+ */
 public final class MisbehavingClients {
     private static final long RECONNECT_DELAY_MICROS = 200_000;
     private static final List<String> MALFORMED_REQUESTS = List.of("\r\n\r\n\r\n", "GET\r\n\r\n", "\u0016\u0003\u0001 hello",
@@ -38,7 +41,7 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 13 + 1);
     }
 
-    /** Lets such clients loose until a time. */
+    /** Starts the misbehaving clients of a failure; they continue until the given time. */
     public void beginFailure(Failure failure, long until) {
         for (int node = 0; node < nodeAddresses.size(); node++) {
             if (failure.affectsNode(node)) {
@@ -59,8 +62,10 @@
 
     private void connectSlowClient(Failure failure, int node, long until) {
         if (TaskScheduler.nowMicros() < until) {
-            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SlowClientConnection(session, failure, node, until),
-                    () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, until)));
+            reactor.connect(nodeAddresses.get(node), 1_000_000,
+                    session -> new SlowClientConnection(session, failure, node, until),
+                    () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS,
+                            () -> connectSlowClient(failure, node, until)));
         }
     }
 
@@ -71,7 +76,8 @@
             synchronized (random) {
                 text = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
             }
-            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, String.format(text, gradeName)), () -> { });
+            reactor.connect(nodeAddresses.get(node), 1_000_000,
+                    session -> new SingleRequestConnection(session, String.format(text, gradeName)), () -> { });
             scheduler.schedule(now + every, () -> sendMalformedRequests(node, every, until));
         }
     }
@@ -84,7 +90,7 @@
         }
     }
 
-    /** Hands in a foreign record under an id that belongs to another client; nobody reads what it is told. */
+    /** Sends a foreign request under an id that belongs to another client's record. The response is ignored. */
     void sendForeignRequest(int node, String id, Arrival owner) {
         String head = "POST /" + owner.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
                 + owner.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + owner.destination()
@@ -92,7 +98,7 @@
         reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, head), () -> { });
     }
 
-    /** A connection that sends a body far beyond every limit, as fast as it is read. */
+    /** A connection that sends a body far beyond every limit, as fast as the node reads it. */
     private final class OversizedRequestConnection extends RawHttpConnection {
         private static final int BODY_BYTES = 60_000_000;
         private static final byte[] CHUNK = new byte[64 << 10];
@@ -128,7 +134,7 @@
         protected void onMalformedInput(String why) { }
     }
 
-    /** A connection that hands in half a request, byte by byte, or nothing. */
+    /** A connection that sends an incomplete request byte by byte, or nothing. Opened again when the node closes it. */
     private final class SlowClientConnection extends RawHttpConnection {
         private final Failure failure;
         private final int node;
@@ -168,11 +174,12 @@
 
         @Override
         protected void onClosed() {
-            scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, untilMicros));
+            scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS,
+                    () -> connectSlowClient(failure, node, untilMicros));
         }
     }
 
-    /** A connection that sends what cannot be read and goes with the answer, or after a while. */
+    /** A connection that sends one prepared request (malformed or foreign) and closes on the response, or after 3.5 s. */
     private final class SingleRequestConnection extends RawHttpConnection {
         private final String requestText;
 
@@ -193,7 +200,7 @@
         }
     }
 
-    /** The messages of a flood, as the schedule would hold them. */
+    /** The records of a flood, in the form of schedule entries. */
     public static List<Arrival> floodArrivals(Failure failure, String grade, String tenant, int destinations) {
         List<Arrival> arrivals = new ArrayList<>();
         int count = (int) Math.round(failure.amount() * failure.lasts().seconds());
--- a/src/main/java/terndyke/lab/load/Pacer.java
+++ b/src/main/java/terndyke/lab/load/Pacer.java
@@ -6,14 +6,14 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Starts each item of a schedule when it is due, never waiting for anything else, and measures how late it was. */
+/** Starts each item of a schedule when it is due, without waiting for anything else, and measures how late each start was. */
 public final class Pacer {
-    private static final long SPIN_NANOS = 60_000; // the last nanoseconds before a due time are not slept
+    private static final long SPIN_NANOS = 60_000; // before a due time, these last nanoseconds are busy-waited, not slept
 
     private final Histogram lateness = new Histogram(1, 3_600_000_000L, 3);
     private volatile boolean stopped;
 
-    /** Runs items 0 to count - 1; due gives each one's time in nanoseconds of System.nanoTime. Returns how many ran. */
+    /** Runs items 0 to count - 1. The due times are nanoseconds of System.nanoTime. Returns the number of items started. */
     public int run(int count, IntToLongFunction due, IntConsumer start) {
         for (int i = 0; i < count; i++) {
             long at = due.applyAsLong(i);
@@ -37,7 +37,7 @@
         stopped = true;
     }
 
-    /** How late items were started, in microseconds. Read it once run has returned. */
+    /** How late items were started, in microseconds. To be read only after run has returned. */
     public Histogram lateness() {
         return lateness;
     }
--- a/src/main/java/terndyke/lab/load/ScheduleGenerator.java
+++ b/src/main/java/terndyke/lab/load/ScheduleGenerator.java
@@ -14,7 +14,10 @@
 import terndyke.lab.plan.Experiment.LoadProfile;
 import terndyke.lab.plan.Experiment.Tenant;
 
-/** Draws a day's records before it begins: the same seed gives the same ones, whatever the answers will be. */
+/**
+ * Generates the records of an experiment before it starts. The same seed gives the same records, independent of the
+ * responses.
+ */
 public final class ScheduleGenerator {
     private final Experiment experiment;
     private final LoadProfile load;
@@ -46,7 +49,7 @@
         for (double due : generateDueSeconds()) {
             Grade grade = experiment.grades().get(drawIndex(grades));
             int key = random.nextInt(load.keys());
-            // a key's records go to one destination, as one house's orders go to one supplier
+            // all records of a key go to the same destination, as one customer's orders go to one supplier
             int destination = grade.inOrder() ? Math.floorMod(Integer.hashCode(key * 0x9E3779B9), kinds.size())
                     : drawIndex(destinations);
             arrivals.add(new Arrival(Math.round(due * 1e6), grade.name(), experiment.tenants().get(drawIndex(tenants)).name(),
@@ -55,7 +58,7 @@
         return arrivals;
     }
 
-    /** Seconds since the start, in order. */
+    /** The due times, in seconds since the start, in ascending order. */
     private List<Double> generateDueSeconds() {
         List<Double> times = new ArrayList<>();
         if (load.shape() == LoadProfile.Shape.CONSTANT) {
@@ -75,7 +78,7 @@
             }
             return times;
         }
-        while ((at += drawExponential(most)) < lengthSeconds) { // drawn at the highest rate, and thinned
+        while ((at += drawExponential(most)) < lengthSeconds) { // Poisson process at the peak rate, thinned to rateAt
             if (random.nextDouble() * most < rateAt(at)) {
                 times.add(at);
             }
@@ -87,7 +90,7 @@
         return -Math.log(1 - random.nextDouble()) / rate;
     }
 
-    /** Records a second at a time of the day. */
+    /** The rate in records per second at the given second of the run. */
     private double rateAt(double at) {
         double from = load.from() == null ? 0 : load.from().seconds();
         double until = load.until() == null ? lengthSeconds : load.until().seconds();
--- a/src/main/java/terndyke/lab/load/TraceFile.java
+++ b/src/main/java/terndyke/lab/load/TraceFile.java
@@ -21,7 +21,7 @@
 import terndyke.lab.plan.UserInputException;
 import terndyke.lab.plan.Experiment;
 
-/** A recorded schedule: JSON lines, one arrival a line, compressed by zstd where the name ends in .zst. */
+/** Reads and writes recorded schedules: JSON lines, one arrival per line, zstd-compressed if the file name ends in .zst. */
 public final class TraceFile {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String COMPRESSED_SUFFIX = ".zst";
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Reads a trace for a day; every line that does not fit it is told. */
+    /** Reads a trace for an experiment. The exception lists every line that is invalid for it. */
     public static List<Arrival> read(Path file, Experiment day) throws UserInputException {
         List<Arrival> arrivals = new ArrayList<>();
         List<String> faults = new ArrayList<>();
@@ -73,7 +73,7 @@
 
     private static String validate(Arrival arrival, Experiment day, long last) {
         if (arrival.due() < Math.max(0, last)) {
-            return "due: " + arrival.due() + " comes before the line above it";
+            return "due: " + arrival.due() + " us is earlier than in the line before";
         }
         if (day.grades().stream().noneMatch(grade -> grade.name().equals(arrival.grade()))) {
             return "grade: " + arrival.grade() + " is not in the experiment";
--- a/src/main/java/terndyke/lab/standin/KnownDelayServer.java
+++ b/src/main/java/terndyke/lab/standin/KnownDelayServer.java
@@ -14,7 +14,7 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** Answers every request with 200 after a delay that is known beforehand: what a load tool is checked against. */
+/** Answers every request with 200 after a known delay. The load generator is checked against it. */
 public final class KnownDelayServer implements AutoCloseable {
     private static final byte[] OK_RESPONSE = RawHttpMessage.encode("HTTP/1.1 200 -", "", new byte[0]);
 
@@ -23,14 +23,21 @@
     private final TaskScheduler scheduler;
     private final Histogram serverDelays = new Histogram(1, 600_000_000L, 3);
 
-    /** @param answerAt when a request that came at a time is answered, both in microseconds; the same time is at once */
-    public KnownDelayServer(InetSocketAddress address, SocketReactor net, TaskScheduler ticker, LongUnaryOperator answerAt) throws IOException {
+    /**
+     * @param answerAt gives the time of the response for a request read at a time, both in microseconds; the response is
+     *         written at once if that time is not later
+     */
+    public KnownDelayServer(InetSocketAddress address, SocketReactor net, TaskScheduler ticker, LongUnaryOperator answerAt)
+            throws IOException {
         this.responseTime = answerAt;
         this.scheduler = ticker;
         listener = net.listen(address, ServerConnection::new);
     }
 
-    /** How long it really took from a request's last byte to its answer, in microseconds: no clock is exact. */
+    /**
+     * The measured times from a request's last byte to its response, in microseconds, since delayed responses are never sent
+     * exactly on time. Requests answered at once are not included.
+     */
     public Histogram serverDelays() {
         synchronized (serverDelays) {
             return serverDelays.copy();
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -28,24 +28,24 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * A plain node that keeps the rules, or breaks just one of them on purpose: the referee has to be able to fail. It keeps
- * no journal, copies nothing and learns nothing; it is no yardstick for how well a node decides.
+ * A simple replacement for a node that keeps the rules, or breaks exactly one of them on purpose, to check that the referee
+ * detects it. It keeps no journal, sends no copies and learns nothing, so it is no reference for a node's decisions.
  */
 public final class StandInNode implements NodeUnderTest {
-    /** What it does wrong. */
+    /** The rule that the stand-in breaks, and how. */
     public enum Fault {
         NONE,
-        /** Rule 1: every tenth record without a key is forgotten once its client has its 202. */
+        /** Rule 1: every tenth accepted record is dropped after the 202 to its client, unless it has a key. */
         LOSES,
-        /** Rule 2: what ended in an error is sent again, whatever its effect. */
+        /** Rule 2: a shot that ended in an error is repeated, even for unrepeatable records. */
         REPEATS,
-        /** Rule 3: states in the list are passed over. */
+        /** Rule 3: endpoint states in the list are ignored. */
         IGNORES_DRAINS,
-        /** Rule 4: it goes back to a receiver that failed with all that it holds. */
+        /** Rule 4: a recovering receiver gets all pending calls at once. */
         PUSHES,
-        /** Rule 5: records of a key go as they come. */
+        /** Rule 5: records of one key are sent without keeping their order. */
         DISORDERS,
-        /** Rule 6: told waits are passed over. */
+        /** Rule 6: Retry-After of receivers is ignored. */
         IGNORES_WAITS
     }
 
@@ -97,7 +97,7 @@
         int nextEndpointIndex;
     }
 
-    /** @param file a node's configuration in the platform's form */
+    /** @param file the text of a node's configuration file, in the platform's JSON format */
     public StandInNode(InetSocketAddress listen, SocketReactor net, String file, Fault fault) throws IOException {
         this.listenAddress = listen;
         this.reactor = net;
@@ -146,7 +146,8 @@
     }
 
     private void startWatch() {
-        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, WatchConnection::new, () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, this::startWatch));
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, WatchConnection::new,
+                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, this::startWatch));
     }
 
     @Override
@@ -206,13 +207,14 @@
         sendOrWait(owed);
     }
 
-    /** Sends a record if it may be sent now, or says when to come again. */
+    /** Sends a record if it may be sent now; otherwise tries again later, or gives it up when its time is over. */
     private synchronized void sendOrWait(PendingRecord owed) {
         long now = TaskScheduler.nowMicros();
         if (stopping) {
             return;
         }
-        if (now > owed.deadlineMicros - 60_000 || owed.mayHaveExecuted && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
+        if (now > owed.deadlineMicros - 60_000
+                || owed.mayHaveExecuted && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
             sendNotice(owed, "dead");
             return;
         }
@@ -237,7 +239,7 @@
         endpoint.failedAtMicros = now;
     }
 
-    /** After a failure a receiver gets a call now and then until it has warmed up. */
+    /** After a failure, an endpoint gets only one call per backoff interval until it has warmed up. */
     private void limitRateWhileWarmingUp(Endpoint endpoint, long now) {
         if (now < endpoint.failedAtMicros + WARM_UP_MICROS && fault != Fault.PUSHES) {
             endpoint.backoffUntilMicros = now + BACKOFF_MICROS;
@@ -271,7 +273,7 @@
         }
     }
 
-    /** A client's connection. */
+    /** A connection from a client. */
     private final class ClientConnection extends RawHttpConnection {
         ClientConnection(IOSession session) {
             super(session);
@@ -301,7 +303,7 @@
         }
     }
 
-    /** One call on a connection of its own. */
+    /** A call to an endpoint, on its own connection. */
     private final class ShotConnection extends RawHttpConnection {
         private final PendingRecord pendingRecord;
         private final Endpoint endpoint;
@@ -316,8 +318,9 @@
         @Override
         protected void onOpen() {
             synchronized (StandInNode.this) {
-                boolean waits = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros() && fault != Fault.IGNORES_WAITS;
-                if (waits || !endpoint.active) { // told while the connection came up
+                boolean waits = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros()
+                        && fault != Fault.IGNORES_WAITS;
+                if (waits || !endpoint.active) { // changed while the connection was being established
                     answered = true;
                     callsOut--;
                     scheduler.schedule(TaskScheduler.nowMicros() + 20_000, () -> sendOrWait(pendingRecord));
@@ -345,8 +348,8 @@
                     case 429, 503 -> {
                         String told = message.header("retry-after");
                         if (told != null) {
-                            waitUntilByDestination.merge(pendingRecord.destination, now + Math.round(Double.parseDouble(told) * 1e6) + 20_000,
-                                    Math::max);
+                            waitUntilByDestination.merge(pendingRecord.destination,
+                                    now + Math.round(Double.parseDouble(told) * 1e6) + 20_000, Math::max);
                         } else {
                             backOff(endpoint, now);
                         }
@@ -377,7 +380,7 @@
         }
     }
 
-    /** A notice on a connection of its own. */
+    /** A notice to the platform, on its own connection. */
     private final class NoticeConnection extends RawHttpConnection {
         private final PendingRecord pendingRecord;
         private final String result;
@@ -412,7 +415,7 @@
         }
     }
 
-    /** The watch on discovery. */
+    /** The connection that watches the list at discovery. */
     private final class WatchConnection extends RawHttpConnection {
         WatchConnection(IOSession session) {
             super(session);
--- a/src/main/java/terndyke/lab/wire/RawHttpConnection.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpConnection.java
@@ -20,9 +20,9 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection of the laboratory, on HttpCore's reactor but below its message streams: a laboratory has to write what
- * no library would, and to know when a first and a last byte came or left. Reading goes on in the I/O thread; writing is
- * safe from any.
+ * One HTTP connection of the laboratory, on HttpCore's reactor but below its message streams: the laboratory has to write
+ * malformed messages, which no library would send, and has to know when the first and the last byte of a message was read
+ * or written. Reading happens in the I/O thread; writing is safe from any thread.
  */
 public abstract class RawHttpConnection implements IOEventHandler {
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -41,24 +41,24 @@
         this.session = session;
     }
 
-    /** The connection is there. */
+    /** The connection is established. */
     protected void onOpen() { }
 
-    /** The first byte of a message has come. */
+    /** The first byte of a message was read. */
     protected void onMessageStart() { }
 
-    /** A message has come whole. */
+    /** A message was read completely. */
     protected abstract void onMessage(RawHttpMessage message);
 
-    /** What came cannot be read. */
+    /** The input cannot be parsed as HTTP. By default the connection is reset. */
     protected void onMalformedInput(String why) {
         reset();
     }
 
-    /** The connection is over, whoever ended it; told once. */
+    /** The connection has ended, by either side. Called once. */
     protected void onClosed() { }
 
-    /** Answers what cannot be read, and ends the connection in good order. */
+    /** Answers malformed input with 400 and closes the connection gracefully. */
     protected final void sendBadRequestAndClose() {
         write(RawHttpMessage.encode("HTTP/1.1 400 -", "Connection: close\r\n", new byte[0]));
         close();
@@ -68,7 +68,7 @@
         return session.isOpen();
     }
 
-    /** Writes all of this, now or as the other side reads. */
+    /** Writes all bytes: what the socket accepts now, the rest as the peer reads. */
     public void write(byte[] bytes) {
         session.getLock().lock();
         try {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Bytes that the other side has not taken yet. */
+    /** The number of bytes that the socket has not accepted yet. */
     public int unsentBytes() {
         session.getLock().lock();
         try {
@@ -97,17 +97,17 @@
         }
     }
 
-    /** Ends the connection in good order. */
+    /** Closes the connection gracefully. */
     public void close() {
         session.close(CloseMode.GRACEFUL);
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection at once, with a reset. */
     public void reset() {
         session.close(CloseMode.IMMEDIATE);
     }
 
-    /** Reads nothing any more; what comes stays in the kernel. */
+    /** Stops reading for good; what the peer sends stays in the kernel's buffers. */
     public void stopReading() {
         readingStopped = true;
         session.clearEvent(SelectionKey.OP_READ);
@@ -162,12 +162,12 @@
         }
     }
 
-    /** Takes one whole message off the buffer; false where it is not whole yet. */
+    /** Removes one complete message from the buffer; returns false if there is none yet. */
     private boolean parseMessage() {
         int head = findHeadEnd();
         if (head < 0) {
             if (writePosition - readPosition > MAX_HEAD_BYTES) {
-                onMalformedInput("a head of more than " + MAX_HEAD_BYTES + " bytes");
+                onMalformedInput("message head exceeds " + MAX_HEAD_BYTES + " bytes");
                 readPosition = writePosition;
             }
             return false;
@@ -186,7 +186,7 @@
                     first = new String(buffer, at, stop - at, StandardCharsets.ISO_8859_1).split(" ", 3);
                     if (first.length < 2 || !first[0].startsWith("HTTP/1.")
                             && (first.length < 3 || !first[2].startsWith("HTTP/1."))) {
-                        throw new ParseException("no first line");
+                        throw new ParseException("invalid start line");
                     }
                 } else if (stop > at) {
                     CharArrayBuffer line = new CharArrayBuffer(stop - at);
@@ -221,11 +221,11 @@
     private static int parseBodyLength(String[] first, Map<String, String> fields) throws ParseException {
         String length = fields.get("content-length");
         if (fields.containsKey("transfer-encoding")) {
-            throw new ParseException("a body in chunks");
+            throw new ParseException("chunked bodies are not supported");
         }
         int bytes = length == null || first[1].equals("204") ? 0 : Integer.parseInt(length);
         if (bytes < 0 || bytes > MAX_BODY_BYTES) {
-            throw new ParseException("a body of " + bytes + " bytes");
+            throw new ParseException("Content-Length of " + bytes + " bytes is out of range");
         }
         return bytes;
     }
--- a/src/main/java/terndyke/lab/wire/RawHttpMessage.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpMessage.java
@@ -4,29 +4,29 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One HTTP/1.1 message: the words of its first line, its fields by lower-case name, its body. */
+/** One HTTP/1.1 message: the start line split at spaces, the headers by lower-case name, and the body. */
 public record RawHttpMessage(String[] startLine, Map<String, String> headers, byte[] body) {
 
     public String header(String name) {
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
-    /** A request's method. */
+    /** The method, if the message is a request. */
     public String method() {
         return startLine[0];
     }
 
-    /** A request's target. */
+    /** The target, if the message is a request. */
     public String target() {
         return startLine[1];
     }
 
-    /** An answer's status; 0 where it cannot be read. */
+    /** The status code, if the message is a response; 0 if it is malformed. */
     public int status() {
         return startLine[1].matches("\\d{3}") ? Integer.parseInt(startLine[1]) : 0;
     }
 
-    /** Bytes of a message of ours; the head has its fields with line ends, the body's length is added. */
+    /** Encodes a message. Each of the given headers ends with CRLF; Content-Length is added. */
     public static byte[] encode(String first, String fields, byte[] body) {
         byte[] head = (first + "\r\n" + fields + "Content-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
--- a/src/main/java/terndyke/lab/wire/SocketReactor.java
+++ b/src/main/java/terndyke/lab/wire/SocketReactor.java
@@ -24,13 +24,13 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** The laboratory's sockets on HttpCore's reactor: listeners and connections, each with a link of its own. */
+/** The laboratory's sockets on HttpCore's reactor: listeners and connections, each with its own {@link RawHttpConnection}. */
 public final class SocketReactor implements AutoCloseable {
     private static final long LISTEN_TIMEOUT_SECONDS = 10;
 
     private final DefaultListeningIOReactor reactor;
 
-    /** Makes the link of a new connection. */
+    /** Creates the handler of a new connection. */
     public interface ConnectionFactory extends Function<IOSession, RawHttpConnection> { }
 
     public SocketReactor(String name, int threads) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Connects; what the link becomes is told by its own methods, and whenFailed runs where it never comes up. */
+    /** Connects. The new connection reports its progress by its own callbacks; whenFailed runs if it is not established. */
     public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory maker, Runnable whenFailed) {
         try {
             reactor.connect(new Host(address.getHostString(), address.getPort()), address, null,
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A port of this loopback address that nobody listens on now. */
+    /** Returns this loopback address with a port that is free now. */
     public static InetSocketAddress findFreeAddress(String host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
--- a/src/main/java/terndyke/lab/wire/TaskScheduler.java
+++ b/src/main/java/terndyke/lab/wire/TaskScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.locks.LockSupport;
 
-/** One thread that runs what is due; times are microseconds of System.nanoTime. */
+/** Runs tasks at given times, in one thread. Times are microseconds of System.nanoTime. */
 public final class TaskScheduler implements AutoCloseable {
     private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final Thread thread;
@@ -14,7 +14,8 @@
     private record ScheduledTask(long dueMicros, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
-            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros) : Long.compare(sequence, other.sequence);
+            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -28,7 +29,7 @@
         return System.nanoTime() / 1000;
     }
 
-    /** Runs this at that time, or at once where it is over. */
+    /** Runs a task at the given time, or at once if that time has passed. */
     public void schedule(long micros, Runnable work) {
         boolean first;
         synchronized (queue) {
@@ -62,12 +63,12 @@
             try {
                 due.task.run();
             } catch (RuntimeException e) {
-                firstFailure = firstFailure != null ? firstFailure : e; // the rest goes on, but the run is worth nothing
+                firstFailure = firstFailure != null ? firstFailure : e; // other tasks go on, but the run is void
             }
         }
     }
 
-    /** What went wrong first in the work it ran; null where nothing did. */
+    /** The first exception that a task threw; null if none did. */
     public RuntimeException firstFailure() {
         return firstFailure;
     }
--- a/src/main/java/terndyke/lab/wire/UnreachableAddress.java
+++ b/src/main/java/terndyke/lab/wire/UnreachableAddress.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * An address at which no connection comes up: a listener that never accepts, its queue filled. The kernel then drops what
- * else comes, as a machine that is cut off would.
+ * An address at which connecting times out: a listener that never accepts and whose backlog is full. The kernel then drops
+ * further connection attempts, as if the machine were cut off from the network.
  */
 public final class UnreachableAddress implements AutoCloseable {
     private static final int BACKLOG_FILL_CONNECTIONS = 4;
@@ -36,7 +36,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // closed all the same
+            // ignored: the sockets count as closed even so
         }
     }
 }
--- a/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
+++ b/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
@@ -37,14 +37,16 @@
             TraceFile.write(folder.resolve("a"), ScheduleGenerator.generate(experiment(load, 7)));
             TraceFile.write(folder.resolve("b"), ScheduleGenerator.generate(experiment(load, 7)));
             assertEquals(-1, Files.mismatch(folder.resolve("a"), folder.resolve("b")), shape);
-            assertTrue(!ScheduleGenerator.generate(experiment(load, 7)).equals(ScheduleGenerator.generate(experiment(load, 8))), shape);
+            assertTrue(!ScheduleGenerator.generate(experiment(load, 7))
+                    .equals(ScheduleGenerator.generate(experiment(load, 8))), shape);
         }
     }
 
     @Test
     void loadShapesPlaceRecordsInTheTimesTheyDefine() throws UserInputException {
         assertEquals(1000, ScheduleGenerator.generate(experiment("{shape: constant, rate: 50}", 1)).size());
-        List<Arrival> surge = ScheduleGenerator.generate(experiment("{shape: surge, rate: 50, peak: 500, from: 5s, until: 10s}", 1));
+        List<Arrival> surge = ScheduleGenerator.generate(
+                experiment("{shape: surge, rate: 50, peak: 500, from: 5s, until: 10s}", 1));
         assertTrue(countBetween(surge, 5, 10) > 5 * countBetween(surge, 10, 15));
         List<Arrival> ramp = ScheduleGenerator.generate(experiment("{shape: ramp, rate: 10, peak: 300}", 1));
         assertTrue(countBetween(ramp, 15, 20) > 3 * countBetween(ramp, 0, 5));
@@ -83,7 +85,8 @@
                 "{\"due\":4,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}", "{",
                 "{\"due\":6,\"grade\":\"none\",\"tenant\":\"acme\",\"destination\":0,\"bytes\":1}",
                 "{\"due\":6,\"grade\":\"status\",\"tenant\":\"acme\",\"destination\":9,\"bytes\":1}"));
-        List<String> faults = assertThrows(UserInputException.class, () -> TraceFile.read(file, experiment("{rate: 50}", 5))).errors();
+        List<String> faults = assertThrows(UserInputException.class,
+                () -> TraceFile.read(file, experiment("{rate: 50}", 5))).errors();
         assertEquals(4, faults.size(), faults.toString());
         assertTrue(faults.get(0).contains(":2: due"), faults.get(0));
     }
@@ -96,7 +99,7 @@
         }
         long[] times = LoadGeneratorCheck.expectedLatencies(arrivals, 4_000_000, 2_000_000, 5_000, 4);
         assertEquals(5_000, times[0]);
-        assertTrue(times[4_999] >= 2_000_000 && times[4_999] <= 2_005_000, "the first to be caught waits for all of it");
-        assertTrue(times[4_949] > 1_800_000, "p99 shows it");
+        assertTrue(times[4_999] >= 2_000_000 && times[4_999] <= 2_005_000, "the first request of the stall waits for all of it");
+        assertTrue(times[4_949] > 1_800_000, "the stall shows at p99");
     }
 }
--- a/src/test/java/terndyke/lab/model/ReceiverTest.java
+++ b/src/test/java/terndyke/lab/model/ReceiverTest.java
@@ -25,9 +25,10 @@
 import terndyke.lab.plan.TimeSpan;
 
 class ReceiverTest {
-    private static final ServiceTimeDistribution TEN_MS = new ServiceTimeDistribution(ServiceTimeDistribution.Shape.FIXED, TimeSpan.of("10ms"), null, null);
+    private static final ServiceTimeDistribution TEN_MS =
+            new ServiceTimeDistribution(ServiceTimeDistribution.Shape.FIXED, TimeSpan.of("10ms"), null, null);
 
-    /** What the model said, as lines. */
+    /** Records the callbacks of the model. */
     private static final class RecordingListener implements ReceiverListener {
         final List<Response> responses = new ArrayList<>();
         final List<Long> times = new ArrayList<>();
@@ -55,7 +56,8 @@
 
     private final RecordingListener listener = new RecordingListener();
 
-    private static DestinationGroup shopDestinations(int places, int queue, ServiceTimeDistribution service, RateLimit limit, ColdStart cold) {
+    private static DestinationGroup shopDestinations(int places, int queue, ServiceTimeDistribution service, RateLimit limit,
+            ColdStart cold) {
         return new DestinationGroup("shop", 1, 2, false, places, queue, service, limit, 100, null, cold, false, null);
     }
 
@@ -104,7 +106,7 @@
         one.advance(5_000);
         assertEquals(List.of(429), statuses());
         long wait = listener.responses.get(0).retryAfterMicros();
-        assertTrue(wait >= 100_000, "there is room again after the wait: " + wait);
+        assertTrue(wait >= 100_000, "a permit is available after the Retry-After of, in us: " + wait);
         one.callReceived(wait, shot(null));
         one.advance(wait + 20_000);
         assertEquals(200, statuses().get(statuses().size() - 1));
@@ -112,7 +114,8 @@
 
     @Test
     void aCountLimitResetsWithEachWindow() {
-        Receiver receiver = receiver(shopDestinations(8, 8, TEN_MS, new RateLimit(null, null, 2, TimeSpan.of("100ms"), 0.0, null), null));
+        Receiver receiver = receiver(
+                shopDestinations(8, 8, TEN_MS, new RateLimit(null, null, 2, TimeSpan.of("100ms"), 0.0, null), null));
         for (long at : new long[] {0, 1, 2, 100_000}) {
             receiver.callReceived(at, shot(null));
         }
@@ -134,7 +137,7 @@
         assertEquals(4, listener.executedCount);
         site.clearExecutionTimes(0);
         east.callReceived(1_700_000, shot("m"));
-        assertEquals(1, listener.duplicateCount, "a memory that is lost drops nothing");
+        assertEquals(1, listener.duplicateCount, "no call is dropped after the hall's memory was cleared");
     }
 
     @Test
@@ -177,14 +180,14 @@
         receiver.advance(1_000_000);
         assertTrue(listener.responses.isEmpty());
         assertEquals(ConnectOutcome.ACCEPTED, receiver.openConnection());
-        assertTrue(receiver.availableShare(900_000) < 0.5, "it comes back cold");
+        assertTrue(receiver.availableShare(900_000) < 0.5, "reduced capacity right after the outage");
         assertEquals(1, receiver.availableShare(60_000_000));
     }
 
     @Test
     void aColdReceiverCollapsesWhenOverloadedAndOnlyThen() {
         ColdStart cold = new ColdStart(0.5, TimeSpan.of("10s"), 2.0, TimeSpan.of("1s"));
-        for (int every : new int[] {20_000, 2_000}) { // 50 and 500 calls a second; it can do 100 at half of its places
+        for (int every : new int[] {20_000, 2_000}) { // 50 and 500 calls per second; with half of its places it can execute 100
             Receiver receiver = receiver(shopDestinations(2, 100, TEN_MS, null, cold));
             Failure crash = failure(Kind.CRASH, null);
             receiver.beginFailure(0, crash);
@@ -208,7 +211,7 @@
             receiver.callReceived(0, shot(null));
             receiver.advance(50_000);
             assertFalse(listener.responses.get(0).mode() == ResponseMode.COMPLETE, kind.toString());
-            assertEquals(200, listener.responses.get(0).status(), "it ran");
+            assertEquals(200, listener.responses.get(0).status(), "the call was executed");
         }
     }
 
@@ -216,11 +219,13 @@
     void callsInProgressStayWithinPlacesAndQueueAndEachCallIsAnsweredOnce(@ForAll @IntRange(min = 1, max = 6) int places,
             @ForAll @IntRange(min = 0, max = 6) int queue, @ForAll @IntRange(min = 1, max = 60) int calls,
             @ForAll long seed) {
-        ServiceTimeDistribution service = new ServiceTimeDistribution(ServiceTimeDistribution.Shape.EXPONENTIAL, TimeSpan.of("5ms"), null, null);
+        ServiceTimeDistribution service =
+                new ServiceTimeDistribution(ServiceTimeDistribution.Shape.EXPONENTIAL, TimeSpan.of("5ms"), null, null);
         List<List<Long>> runs = new ArrayList<>();
         for (int again = 0; again < 2; again++) {
             RecordingListener own = new RecordingListener();
-            EmulatedDestination site = new EmulatedDestination(0, shopDestinations(places, queue, service, null, null), 1_000_000);
+            EmulatedDestination site =
+                    new EmulatedDestination(0, shopDestinations(places, queue, service, null, null), 1_000_000);
             Receiver receiver = new Receiver(site, "s", 0, 0, own, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
             for (int i = 0; i < calls; i++) {
                 receiver.advance(i * 700L);
@@ -231,6 +236,6 @@
             assertEquals(calls, own.responses.size());
             runs.add(own.times);
         }
-        assertEquals(runs.get(0), runs.get(1), "the same seed, the same day");
+        assertEquals(runs.get(0), runs.get(1), "the same seed gives the same response times");
     }
 }
--- a/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
+++ b/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
@@ -19,7 +19,10 @@
 import terndyke.lab.run.ExperimentResult;
 import terndyke.lab.standin.StandInNode.Fault;
 
-/** The referee on sockets: a node that breaks just one rule is found, one that keeps them all is not blamed. */
+/**
+ * Runs experiments with stand-in nodes on sockets. Guards against a referee that misses a broken rule or reports a rule that
+ * was kept: for a node that breaks exactly one rule it must report that rule only, for a node that keeps all rules none.
+ */
 class StandInNodeRefereeTest {
     private static final String EXPERIMENT = """
             name: proving
@@ -52,10 +55,11 @@
     @EnumSource(Fault.class)
     void refereeReportsExactlyTheRuleThatTheStandInBreaks(Fault fault) throws Exception {
         Experiment day = ExperimentFile.read("proving", EXPERIMENT);
-        ExperimentResult outcome = new ExperimentRun(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).execute();
+        ExperimentResult outcome =
+                new ExperimentRun(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).execute();
         assertNull(outcome.voidedBecause());
         List<Integer> broken = outcome.breaches().stream().map(Breach::rule).distinct().sorted().toList();
-        int rule = fault.ordinal(); // faults stand in the order of the rules they break
+        int rule = fault.ordinal(); // the faults are declared in the order of the rules that they break
         assertEquals(rule == 0 ? List.of() : List.of(rule), broken, outcome.breaches()::toString);
         assertEquals(rule == 0 ? 0 : 1, outcome.status());
         assertTrue(outcome.offeredCount() > 300);
