--- a/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
@@ -15,6 +15,7 @@
     private final List<DiscoveryAgent> agents = new ArrayList<>();
     private long revision;
 
+    /** Adds an agent. It gets the current entries at once and later changes after its delay. */
     synchronized void subscribe(DiscoveryAgent agent) {
         agents.add(agent);
         entries.values().forEach(agent::applyUpdate);
--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -68,6 +68,7 @@
         }
     };
 
+    /** An action that may throw an IOException. */
     private interface IoAction {
         void run() throws IOException;
     }
@@ -135,6 +136,7 @@
         throw new IllegalArgumentException("no destination with number " + number);
     }
 
+    /** The discovery agents, by node number. */
     public List<DiscoveryAgent> agents() {
         return agents;
     }
--- a/src/main/java/terndyke/lab/emulate/ReceiverHost.java
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -137,6 +137,7 @@
         }
     }
 
+    /** A supplier that may throw an IOException. */
     private interface IoSupplier<T> {
         T get() throws IOException;
     }
--- a/src/main/java/terndyke/lab/load/EmulatedClients.java
+++ b/src/main/java/terndyke/lab/load/EmulatedClients.java
@@ -240,7 +240,7 @@
         }
     }
 
-    /** A client's connection to a node. */
+    /** A client's connection to a node, with at most one pending record at a time. */
     private final class ClientConnection extends RawHttpConnection {
         private final int node;
         private PendingRecord pendingRecord;
--- a/src/main/java/terndyke/lab/load/LoadGenerator.java
+++ b/src/main/java/terndyke/lab/load/LoadGenerator.java
@@ -82,6 +82,7 @@
         }
     }
 
+    /** Stops the run: no further requests are started. */
     public void stop() {
         pacer.stop();
     }
@@ -123,6 +124,7 @@
         }
     }
 
+    /** A connection to the target; it sends one request at a time and then takes the next waiting one. */
     private final class ClientConnection extends RawHttpConnection {
         private PendingRequest pendingRequest;
         private long sentMicros;
--- a/src/main/java/terndyke/lab/load/LoadGeneratorCheck.java
+++ b/src/main/java/terndyke/lab/load/LoadGeneratorCheck.java
@@ -90,7 +90,7 @@
                 run.latencyFromSent().getMaxValue() / 1e3);
         boolean hidden = run.latencyFromSent().getValueAtPercentile(99) * 10 < run.latencyFromDue().getValueAtPercentile(99);
         passed &= hidden;
-        out.printf("  counting from the sending %s%n", hidden ? "hides the stall at p99" : "does not hide the stall: FAILED");
+        out.printf("  measuring from the sent time %s%n", hidden ? "hides the stall at p99" : "does not hide the stall: FAILED");
     }
 
     /**
@@ -150,7 +150,7 @@
 
     /** Prints lateness and latencies at rising rates, to show up to which rate the load generator sends on time. */
     private void measureRates() throws IOException, InterruptedException {
-        out.println("rates against a receiver that answers at once (the tool's lateness and answers from due, ms)");
+        out.println("rates against a receiver that answers at once (start lateness, and latency from due, in ms)");
         for (double rate : new double[] {1_000, 5_000, 10_000, 15_000, 20_000, 30_000}) {
             LoadGenerator.Result run =
                     measure(64, constantRateArrivals(rate, 5_000_000), 5_000_000, () -> { }, now -> now).result;
--- a/src/main/java/terndyke/lab/load/Pacer.java
+++ b/src/main/java/terndyke/lab/load/Pacer.java
@@ -33,6 +33,7 @@
         return count;
     }
 
+    /** Makes run return before the next item is started. */
     public void stop() {
         stopped = true;
     }
--- a/src/main/java/terndyke/lab/load/ScheduleGenerator.java
+++ b/src/main/java/terndyke/lab/load/ScheduleGenerator.java
@@ -31,6 +31,7 @@
         lengthSeconds = day.length().seconds();
     }
 
+    /** Generates the records of an experiment, sorted by due time. */
     public static List<Arrival> generate(Experiment day) {
         return new ScheduleGenerator(day).generateArrivals();
     }
--- a/src/main/java/terndyke/lab/load/TraceFile.java
+++ b/src/main/java/terndyke/lab/load/TraceFile.java
@@ -28,6 +28,7 @@
 
     private TraceFile() { }
 
+    /** Writes a schedule to a trace file. */
     public static void write(Path file, List<Arrival> arrivals) throws IOException {
         OutputStream out = Files.newOutputStream(file);
         try (BufferedWriter lines = new BufferedWriter(new OutputStreamWriter(
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -74,6 +74,7 @@
     private int callsOut;
     private boolean stopping;
 
+    /** An endpoint of the list, and what is known of its availability. */
     private static final class Endpoint {
         String uid;
         InetSocketAddress address;
@@ -84,6 +85,7 @@
         long failedAtMicros = Long.MIN_VALUE / 2;
     }
 
+    /** An accepted record whose outcome is not known yet. */
     private static final class PendingRecord {
         String id;
         String key;
@@ -116,6 +118,7 @@
         applyList(told.path("known"));
     }
 
+    /** Parses an address of the form host:port. */
     private static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
--- a/src/main/java/terndyke/lab/wire/TaskScheduler.java
+++ b/src/main/java/terndyke/lab/wire/TaskScheduler.java
@@ -11,6 +11,7 @@
     private volatile RuntimeException firstFailure;
     private long lastSequence;
 
+    /** A task and its due time; tasks that are due at the same time run in the order in which they were scheduled. */
     private record ScheduledTask(long dueMicros, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
@@ -25,6 +26,7 @@
         thread.start();
     }
 
+    /** The current time on the clock of all scheduled times, in microseconds of System.nanoTime. */
     public static long nowMicros() {
         return System.nanoTime() / 1000;
     }
--- a/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
+++ b/src/test/java/terndyke/lab/load/ScheduleGeneratorTest.java
@@ -15,6 +15,7 @@
 import terndyke.lab.plan.Experiment;
 import terndyke.lab.plan.ExperimentFile;
 
+/** Tests the generated schedules, trace files, and the latencies that the check of the load generator expects. */
 class ScheduleGeneratorTest {
     @TempDir
     Path folder;
--- a/src/test/java/terndyke/lab/model/ReceiverTest.java
+++ b/src/test/java/terndyke/lab/model/ReceiverTest.java
@@ -24,6 +24,7 @@
 import terndyke.lab.plan.Failure.Kind;
 import terndyke.lab.plan.TimeSpan;
 
+/** Tests the receiver model with a virtual clock. */
 class ReceiverTest {
     private static final ServiceTimeDistribution TEN_MS =
             new ServiceTimeDistribution(ServiceTimeDistribution.Shape.FIXED, TimeSpan.of("10ms"), null, null);
@@ -106,7 +107,7 @@
         one.advance(5_000);
         assertEquals(List.of(429), statuses());
         long wait = listener.responses.get(0).retryAfterMicros();
-        assertTrue(wait >= 100_000, "a permit is available after the Retry-After of, in us: " + wait);
+        assertTrue(wait >= 100_000, "Retry-After covers the time to the next permit, in us: " + wait);
         one.callReceived(wait, shot(null));
         one.advance(wait + 20_000);
         assertEquals(200, statuses().get(statuses().size() - 1));
