--- a/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryAgent.java
@@ -67,15 +67,15 @@
     /** A watch that waits for a change after a revision. */
     private record PendingWatch(NodeConnection connection, long afterRevision, long deadlineMicros) { }
 
-    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor net, EventLog logbook, TaskScheduler ticker, long delay)
-            throws IOException {
+    DiscoveryAgent(int node, InetSocketAddress address, SocketReactor reactor, EventLog eventLog, TaskScheduler scheduler,
+            long propagationDelayMicros) throws IOException {
         this.node = node;
-        this.reactor = net;
+        this.reactor = reactor;
         this.address = address;
-        this.eventLog = logbook;
-        this.scheduler = ticker;
-        this.propagationDelayMicros = delay;
-        listener = net.listen(address, NodeConnection::new);
+        this.eventLog = eventLog;
+        this.scheduler = scheduler;
+        this.propagationDelayMicros = propagationDelayMicros;
+        listener = reactor.listen(address, NodeConnection::new);
     }
 
     public synchronized InetSocketAddress address() {
@@ -84,24 +84,25 @@
 
     /** Moves to another address. The old one accepts no new connections, and those still open are reset after a grace time. */
     public void moveToNewAddress() throws IOException {
-        InetSocketAddress next = SocketReactor.findFreeAddress(address().getAddress().getHostAddress());
-        ListenerEndpoint opened = reactor.listen(next, NodeConnection::new);
-        List<NodeConnection> left;
+        InetSocketAddress newAddress = SocketReactor.findFreeAddress(address().getAddress().getHostAddress());
+        ListenerEndpoint newListener = reactor.listen(newAddress, NodeConnection::new);
+        List<NodeConnection> openConnections;
         synchronized (this) {
             listener.close(CloseMode.IMMEDIATE);
-            listener = opened;
-            address = next;
-            left = List.copyOf(connections);
+            listener = newListener;
+            address = newAddress;
+            openConnections = List.copyOf(connections);
         }
-        scheduler.schedule(TaskScheduler.nowMicros() + OLD_ADDRESS_GRACE_MICROS, () -> left.forEach(RawHttpConnection::reset));
+        scheduler.schedule(TaskScheduler.nowMicros() + OLD_ADDRESS_GRACE_MICROS,
+                () -> openConnections.forEach(RawHttpConnection::reset));
     }
 
     /** Schedules a change at discovery to be applied here after the delay, never before an earlier change. */
     synchronized void scheduleUpdate(DiscoveryRegistry.Entry entry) {
-        double later = activeFailures.stream().filter(failure -> failure.kind() == Kind.LIST_LATE)
+        double extraDelaySeconds = activeFailures.stream().filter(failure -> failure.kind() == Kind.LIST_LATE)
                 .mapToDouble(Failure::amount).sum();
         lastUpdateDueMicros = Math.max(lastUpdateDueMicros,
-                TaskScheduler.nowMicros() + propagationDelayMicros + Math.round(later * 1e6));
+                TaskScheduler.nowMicros() + propagationDelayMicros + Math.round(extraDelaySeconds * 1e6));
         scheduler.schedule(lastUpdateDueMicros, () -> applyUpdate(entry));
     }
 
@@ -146,18 +147,19 @@
         return listJson(entries.values(), true);
     }
 
-    private String listJson(Collection<DiscoveryRegistry.Entry> some, boolean all) {
+    private String listJson(Collection<DiscoveryRegistry.Entry> listed, boolean complete) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON_FACTORY.createGenerator(text)) {
             json.writeStartObject();
             json.writeNumberField("rev", revision);
-            json.writeBooleanField("all", all);
+            json.writeBooleanField("all", complete);
             json.writeArrayFieldStart("targets");
-            for (DiscoveryRegistry.Entry entry : some) {
-                InetSocketAddress at = entry.host().address(node);
+            for (DiscoveryRegistry.Entry entry : listed) {
+                InetSocketAddress endpointAddress = entry.host().address(node);
                 json.writeStartObject();
                 json.writeStringField("uid", entry.uid());
-                json.writeStringField("endpoint", at.getAddress().getHostAddress() + ":" + at.getPort());
+                json.writeStringField("endpoint",
+                        endpointAddress.getAddress().getHostAddress() + ":" + endpointAddress.getPort());
                 json.writeStringField("az", entry.host().hallName());
                 json.writeStringField("model", entry.kind());
                 json.writeNumberField("pod_group", entry.host().destination());
@@ -174,21 +176,21 @@
         return text.toString();
     }
 
-    private synchronized void handleWatch(NodeConnection side, String target) {
-        long after = -1;
-        long wait = 0;
-        for (Matcher number = WATCH_PARAMETER.matcher(target); number.find();) {
-            if (number.group(1).equals("after")) {
-                after = Long.parseLong(number.group(2));
+    private synchronized void handleWatch(NodeConnection connection, String target) {
+        long afterRevision = -1;
+        long waitMicros = 0;
+        for (Matcher parameter = WATCH_PARAMETER.matcher(target); parameter.find();) {
+            if (parameter.group(1).equals("after")) {
+                afterRevision = Long.parseLong(parameter.group(2));
             } else {
-                wait = Math.min(60_000, Long.parseLong(number.group(2))) * 1000;
+                waitMicros = Math.min(60_000, Long.parseLong(parameter.group(2))) * 1000;
             }
         }
-        PendingWatch watcher = new PendingWatch(side, after, TaskScheduler.nowMicros() + wait);
-        pendingWatches.add(watcher);
+        PendingWatch watch = new PendingWatch(connection, afterRevision, TaskScheduler.nowMicros() + waitMicros);
+        pendingWatches.add(watch);
         answerPendingWatches();
-        if (pendingWatches.contains(watcher)) {
-            scheduler.schedule(watcher.deadlineMicros, this::answerPendingWatches);
+        if (pendingWatches.contains(watch)) {
+            scheduler.schedule(watch.deadlineMicros, this::answerPendingWatches);
         }
     }
 
@@ -197,28 +199,29 @@
             return;
         }
         long now = TaskScheduler.nowMicros();
-        pendingWatches.removeIf(watcher -> {
-            boolean whole = watcher.afterRevision < 0 || watcher.afterRevision > revision;
-            if (!whole && watcher.afterRevision == revision && now < watcher.deadlineMicros) {
+        pendingWatches.removeIf(watch -> {
+            boolean complete = watch.afterRevision < 0 || watch.afterRevision > revision;
+            if (!complete && watch.afterRevision == revision && now < watch.deadlineMicros) {
                 return false;
             }
-            List<DiscoveryRegistry.Entry> some = new ArrayList<>();
-            for (Map<String, DiscoveryRegistry.Entry> each : whole ? List.of(entries) : List.of(entries, removedEntries)) {
-                each.values().stream().filter(entry -> whole || entry.revision() > watcher.afterRevision).forEach(some::add);
+            List<DiscoveryRegistry.Entry> changed = new ArrayList<>();
+            for (Map<String, DiscoveryRegistry.Entry> source : complete ? List.of(entries) : List.of(entries, removedEntries)) {
+                source.values().stream().filter(entry -> complete || entry.revision() > watch.afterRevision)
+                        .forEach(changed::add);
             }
             if (hasFailure(Kind.LIST_SPOILT)) {
-                watcher.connection.sendResponse(200, "{\"rev\":" + revision + ",\"all\":tr");
+                watch.connection.sendResponse(200, "{\"rev\":" + revision + ",\"all\":tr");
                 return true;
             }
-            watcher.connection.sendResponse(200, listJson(some, whole));
-            some.forEach(entry -> eventLog.add(
+            watch.connection.sendResponse(200, listJson(changed, complete));
+            changed.forEach(entry -> eventLog.add(
                     ObservedEvent.ofListEntry(now, EventType.TOLD, node, entry.uid(), stateCode(entry))));
             return true;
         });
     }
 
-    private synchronized void handleNotices(NodeConnection side, byte[] body) {
-        List<ObservedEvent> read = new ArrayList<>();
+    private synchronized void handleNotices(NodeConnection connection, byte[] body) {
+        List<ObservedEvent> notices = new ArrayList<>();
         try {
             for (String line : new String(body, StandardCharsets.UTF_8).split("\n")) {
                 if (!line.isBlank()) {
@@ -227,22 +230,23 @@
                     if (!notice.path("ref").isTextual() || !result.equals("dead") && !result.equals("bounced")) {
                         throw new IOException("invalid notice");
                     }
-                    read.add(new ObservedEvent(TaskScheduler.nowMicros(), EventType.NOTICE, node, notice.path("ref").asText(), 0,
-                            null, 0, 0, 0, notice.path("wait_ms").asLong() * 1000, 0, result, null));
+                    notices.add(new ObservedEvent(TaskScheduler.nowMicros(), EventType.NOTICE, node,
+                            notice.path("ref").asText(), 0, null, 0, 0, 0, notice.path("wait_ms").asLong() * 1000, 0,
+                            result, null));
                 }
             }
         } catch (IOException e) {
-            side.sendResponse(400, "");
+            connection.sendResponse(400, "");
             return;
         }
         if (hasFailure(Kind.NOTICES_REFUSED)) {
-            read.forEach(sight -> eventLog.add(new ObservedEvent(sight.at(), EventType.NOTICE_REFUSED, node, sight.id(), 0, null,
-                    0, 0, 500, 0, 0, sight.note(), null)));
-            side.sendResponse(500, "");
+            notices.forEach(event -> eventLog.add(new ObservedEvent(event.at(), EventType.NOTICE_REFUSED, node,
+                    event.id(), 0, null, 0, 0, 500, 0, 0, event.note(), null)));
+            connection.sendResponse(500, "");
             return;
         }
-        read.forEach(eventLog::add);
-        side.sendResponse(204, "");
+        notices.forEach(eventLog::add);
+        connection.sendResponse(204, "");
     }
 
     /** A connection from the node to its agent. */
@@ -275,7 +279,7 @@
         }
 
         @Override
-        protected void onMalformedInput(String why) {
+        protected void onMalformedInput(String reason) {
             sendBadRequestAndClose();
         }
 
@@ -283,7 +287,7 @@
         protected void onClosed() {
             synchronized (DiscoveryAgent.this) {
                 connections.remove(this);
-                pendingWatches.removeIf(watcher -> watcher.connection == this);
+                pendingWatches.removeIf(watch -> watch.connection == this);
             }
         }
     }
--- a/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
+++ b/src/main/java/terndyke/lab/emulate/DiscoveryRegistry.java
@@ -22,8 +22,9 @@
     }
 
     /** Publishes a new state of a receiver. */
-    synchronized void publishState(String uid, ReceiverHost host, String kind, double hint, String state, long bootMillis) {
-        Entry entry = new Entry(++revision, uid, host, kind, state, bootMillis, hint);
+    synchronized void publishState(String uid, ReceiverHost host, String kind, double capacityHint, String state,
+            long bootMillis) {
+        Entry entry = new Entry(++revision, uid, host, kind, state, bootMillis, capacityHint);
         if (state.equals(DiscoveryAgent.LEFT)) {
             entries.remove(uid);
         } else {
--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -47,13 +47,13 @@
 
     private final ReceiverListener receiverListener = new ReceiverListener() {
         @Override
-        public void onResponse(Receiver receiver, long now, Response answer) {
-            findHost(receiver).sendResponse(answer);
+        public void onResponse(Receiver receiver, long now, Response response) {
+            findHost(receiver).sendResponse(response);
         }
 
         @Override
-        public void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped) {
-            eventLog.add(new ObservedEvent(now, dropped ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0,
+        public void onExecuted(Receiver receiver, long now, Shot shot, boolean duplicate) {
+            eventLog.add(new ObservedEvent(now, duplicate ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0,
                     receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
         }
 
@@ -73,42 +73,44 @@
         void run() throws IOException;
     }
 
-    /** @param probes whether receivers answer probes */
-    public Emulator(Experiment day, EventLog logbook, SocketReactor net, TaskScheduler ticker, boolean probes)
-            throws IOException {
-        this.experiment = day;
-        this.eventLog = logbook;
-        this.reactor = net;
-        this.scheduler = ticker;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 31 + 7);
-        long window = day.grades().stream().filter(grade -> grade.effect() == RepeatSemantics.DEDUPLICATED)
+    /** @param answersProbes whether receivers answer probes */
+    public Emulator(Experiment experiment, EventLog eventLog, SocketReactor reactor, TaskScheduler scheduler,
+            boolean answersProbes) throws IOException {
+        this.experiment = experiment;
+        this.eventLog = eventLog;
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 31 + 7);
+        long deduplicationWindowMicros = experiment.grades().stream()
+                .filter(grade -> grade.effect() == RepeatSemantics.DEDUPLICATED)
                 .mapToLong(grade -> grade.window().micros()).max().orElse(5_000_000);
-        for (DestinationGroup some : day.destinations()) {
-            for (int i = 0; i < some.count(); i++) {
-                EmulatedDestination site = new EmulatedDestination(destinations.size(), some, window);
-                destinations.add(site);
-                for (int index = 0; index < some.receivers(); index++) {
-                    int hall = index % day.halls().size();
-                    ReceiverHost host = new ReceiverHost(net, ticker, logbook, site, day.halls().get(hall), probes);
+        for (DestinationGroup group : experiment.destinations()) {
+            for (int i = 0; i < group.count(); i++) {
+                EmulatedDestination destination = new EmulatedDestination(destinations.size(), group, deduplicationWindowMicros);
+                destinations.add(destination);
+                for (int index = 0; index < group.receivers(); index++) {
+                    int hall = index % experiment.halls().size();
+                    ReceiverHost host = new ReceiverHost(reactor, scheduler, eventLog, destination,
+                            experiment.halls().get(hall), answersProbes);
                     hosts.add(host);
-                    host.startReceiver(createReceiver(site, index, hall, host), day.nodes().count());
+                    host.startReceiver(createReceiver(destination, index, hall, host), experiment.nodes().count());
                     publishState(host, DiscoveryAgent.ACTIVE, 0);
                 }
             }
         }
-        for (int node = 0; node < day.nodes().count(); node++) {
-            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), net,
-                    logbook, ticker, day.list().delay().micros());
+        for (int node = 0; node < experiment.nodes().count(); node++) {
+            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), reactor,
+                    eventLog, scheduler, experiment.list().delay().micros());
             agents.add(agent);
             registry.subscribe(agent);
         }
     }
 
-    private Receiver createReceiver(EmulatedDestination site, int index, int hall, ReceiverHost host) {
-        RestorableUniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
-        Receiver receiver = new Receiver(site,
+    private Receiver createReceiver(EmulatedDestination destination, int index, int hall, ReceiverHost host) {
+        RestorableUniformRandomProvider receiverRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
+        Receiver receiver = new Receiver(destination,
                 "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index, hall,
-                receiverListener, own);
+                receiverListener, receiverRandom);
         hostsByReceiver.put(receiver, host);
         return receiver;
     }
@@ -118,19 +120,19 @@
     }
 
     private void publishState(ReceiverHost host, String state, long bootMillis) {
-        DestinationGroup some = findDestinationGroup(host.destination());
-        double hint = some.limit() != null && some.limit().rate() != null ? some.limit().rate()
-                : some.limit() != null ? some.limit().count() / some.limit().span().seconds()
-                : some.places() / Math.max(0.001, some.service().mean().seconds());
-        registry.publishState(host.receiver().uid(), host, some.kind(), hint, state, bootMillis);
+        DestinationGroup group = findDestinationGroup(host.destination());
+        double capacityHint = group.limit() != null && group.limit().rate() != null ? group.limit().rate()
+                : group.limit() != null ? group.limit().count() / group.limit().span().seconds()
+                : group.places() / Math.max(0.001, group.service().mean().seconds());
+        registry.publishState(host.receiver().uid(), host, group.kind(), capacityHint, state, bootMillis);
     }
 
     private DestinationGroup findDestinationGroup(int number) {
-        int first = 0;
-        for (DestinationGroup some : experiment.destinations()) {
-            first += some.count();
-            if (number < first) {
-                return some;
+        int groupEnd = 0;
+        for (DestinationGroup group : experiment.destinations()) {
+            groupEnd += group.count();
+            if (number < groupEnd) {
+                return group;
             }
         }
         throw new IllegalArgumentException("no destination with number " + number);
@@ -148,15 +150,15 @@
 
     /** The load by destination: the number of calls in progress (executed or queued), and the number of connections. */
     public int[][] loadByDestination() {
-        int[][] all = new int[destinations.size()][2];
+        int[][] loads = new int[destinations.size()][2];
         for (ReceiverHost host : hosts) {
             Receiver receiver = host.receiver();
             synchronized (receiver.destination()) {
-                all[host.destination()][0] += receiver.callsInProgress();
-                all[host.destination()][1] += receiver.connectionCount();
+                loads[host.destination()][0] += receiver.callsInProgress();
+                loads[host.destination()][1] += receiver.connectionCount();
             }
         }
-        return all;
+        return loads;
     }
 
     /** Starts a failure of receivers or discovery. Which receivers it affects depends only on the seed and the failure. */
@@ -165,17 +167,17 @@
             findAffectedAgents(failure).forEach(agent -> agent.beginFailure(failure));
             return;
         }
-        List<ReceiverHost> struck = findAffectedHosts(failure);
-        for (ReceiverHost host : struck) {
+        List<ReceiverHost> affectedHosts = findAffectedHosts(failure);
+        for (ReceiverHost host : affectedHosts) {
             switch (failure.kind()) {
                 case DRAIN -> {
                     publishState(host, DiscoveryAgent.LEAVING, 0);
-                    Receiver leaving = host.receiver();
+                    Receiver drainingReceiver = host.receiver();
                     scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS,
                             () -> host.rejectNewCalls());
                     scheduler.schedule(
                             TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
-                                if (host.receiver() == leaving) {
+                                if (host.receiver() == drainingReceiver) {
                                     publishState(host, DiscoveryAgent.LEFT, 0);
                                 }
                             });
@@ -183,8 +185,8 @@
                 case REPLACE -> runUnchecked(() -> {
                     publishState(host, DiscoveryAgent.LEFT, 0);
                     synchronized (host.receiver().destination()) {
-                        Receiver old = host.receiver();
-                        host.startReceiver(createReceiver(old.destination(), old.index(), old.hall(), host),
+                        Receiver previous = host.receiver();
+                        host.startReceiver(createReceiver(previous.destination(), previous.index(), previous.hall(), host),
                                 experiment.nodes().count());
                     }
                     publishState(host, DiscoveryAgent.ACTIVE, System.currentTimeMillis());
@@ -192,7 +194,7 @@
                 default -> host.beginFailure(failure);
             }
         }
-        struck.forEach(host -> runUnchecked(host::reopenAddresses));
+        affectedHosts.forEach(host -> runUnchecked(host::reopenAddresses));
     }
 
     /** Ends a failure that beginFailure started. */
@@ -200,9 +202,9 @@
         if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.endFailure(failure));
         } else if (failure.kind() != Kind.DRAIN && failure.kind() != Kind.REPLACE) {
-            List<ReceiverHost> struck = findAffectedHosts(failure);
-            struck.forEach(host -> host.endFailure(failure));
-            struck.forEach(host -> runUnchecked(host::reopenAddresses));
+            List<ReceiverHost> affectedHosts = findAffectedHosts(failure);
+            affectedHosts.forEach(host -> host.endFailure(failure));
+            affectedHosts.forEach(host -> runUnchecked(host::reopenAddresses));
         }
     }
 
@@ -212,25 +214,25 @@
 
     /** The hosts that a failure affects; each call with the same failure returns the same hosts. */
     private List<ReceiverHost> findAffectedHosts(Failure failure) {
-        UniformRandomProvider drawn = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
+        UniformRandomProvider hostRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
                 + failure.kind().ordinal());
-        Failure.Target on = failure.on();
-        List<ReceiverHost> struck = new ArrayList<>();
+        Failure.Target target = failure.on();
+        List<ReceiverHost> affectedHosts = new ArrayList<>();
         for (ReceiverHost host : hosts) {
-            boolean named = (on.hall() == null || on.hall().equals(host.hallName()))
-                    && (on.kind() == null || on.kind().equals(findDestinationGroup(host.destination()).kind()))
-                    && (on.destinations() == null || on.destinations().contains(host.destination()))
-                    && (on.receivers() == null || on.receivers().contains(host.receiver().index()));
-            if (named && (on.share() == null || drawn.nextDouble() < on.share())) {
-                struck.add(host);
+            boolean matches = (target.hall() == null || target.hall().equals(host.hallName()))
+                    && (target.kind() == null || target.kind().equals(findDestinationGroup(host.destination()).kind()))
+                    && (target.destinations() == null || target.destinations().contains(host.destination()))
+                    && (target.receivers() == null || target.receivers().contains(host.receiver().index()));
+            if (matches && (target.share() == null || hostRandom.nextDouble() < target.share())) {
+                affectedHosts.add(host);
             }
         }
-        return struck;
+        return affectedHosts;
     }
 
-    private void runUnchecked(IoAction act) {
+    private void runUnchecked(IoAction action) {
         try {
-            act.run();
+            action.run();
         } catch (IOException e) {
             throw new IllegalStateException("emulator socket operation failed: " + e.getMessage(), e);
         }
--- a/src/main/java/terndyke/lab/emulate/ReceiverHost.java
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -53,13 +53,14 @@
     private boolean addressesOutdated; // the listeners do not match connectOutcome yet
     private long nextAdvanceMicros = Long.MAX_VALUE;
 
-    ReceiverHost(SocketReactor net, TaskScheduler ticker, EventLog logbook, Object lock, String hallName, boolean probes) {
-        this.reactor = net;
-        this.scheduler = ticker;
-        this.eventLog = logbook;
+    ReceiverHost(SocketReactor reactor, TaskScheduler scheduler, EventLog eventLog, Object lock, String hallName,
+            boolean answersProbes) {
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        this.eventLog = eventLog;
         this.lock = lock;
         this.hallName = hallName;
-        this.answersProbes = probes;
+        this.answersProbes = answersProbes;
     }
 
     String hallName() {
@@ -83,11 +84,11 @@
     }
 
     /** Runs this receiver from now on. The connections of the previous one are reset. */
-    void startReceiver(Receiver next, int nodes) throws IOException {
+    void startReceiver(Receiver newReceiver, int nodeCount) throws IOException {
         synchronized (lock) {
-            receiver = next;
+            receiver = newReceiver;
             if (addresses.isEmpty()) {
-                for (int node = 0; node < nodes; node++) {
+                for (int node = 0; node < nodeCount; node++) {
                     addresses.add(SocketReactor.findFreeAddress("127.0." + (10 + node) + ".1"));
                 }
             }
@@ -100,12 +101,12 @@
 
     /** Closes the listeners if the outcome of new connections has changed; {@link #reopenAddresses} opens them anew. */
     private void updateConnectOutcome() {
-        ConnectOutcome now = receiver.openConnection();
-        if (now == ConnectOutcome.ACCEPTED) {
+        ConnectOutcome newOutcome = receiver.openConnection();
+        if (newOutcome == ConnectOutcome.ACCEPTED) {
             receiver.connectionClosed(); // openConnection counted a connection that does not exist
         }
-        if (now != connectOutcome) {
-            connectOutcome = now;
+        if (newOutcome != connectOutcome) {
+            connectOutcome = newOutcome;
             addressesOutdated = true;
             listeners.forEach(listener -> listener.close(CloseMode.IMMEDIATE));
             listeners.clear();
@@ -125,12 +126,12 @@
             }
             addressesOutdated = false;
             for (int node = 0; node < addresses.size(); node++) {
-                int from = node;
+                int nodeNumber = node;
                 switch (connectOutcome) {
-                    case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(from),
-                            session -> new NodeConnection(session, from))));
+                    case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(nodeNumber),
+                            session -> new NodeConnection(session, nodeNumber))));
                     case UNREACHABLE -> unreachableAddresses.add(
-                            retryOnIoException(() -> new UnreachableAddress(addresses.get(from))));
+                            retryOnIoException(() -> new UnreachableAddress(addresses.get(nodeNumber))));
                     default -> { }
                 }
             }
@@ -143,13 +144,13 @@
     }
 
     /** Retries opening an address, since the socket of a closed listener is released only with its selector's next pass. */
-    private static <T> T retryOnIoException(IoSupplier<T> opening) throws IOException {
-        IOException last = null;
+    private static <T> T retryOnIoException(IoSupplier<T> action) throws IOException {
+        IOException lastException = null;
         for (int i = 0; i < 200; i++) {
             try {
-                return opening.get();
+                return action.get();
             } catch (IOException e) {
-                last = e;
+                lastException = e;
             }
             try {
                 Thread.sleep(5);
@@ -158,7 +159,7 @@
                 break;
             }
         }
-        throw last;
+        throw lastException;
     }
 
     void beginFailure(Failure failure) {
@@ -208,8 +209,8 @@
         scheduleAdvance();
     }
 
-    private void logEvent(EventType what, String note) {
-        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0,
+    private void logEvent(EventType type, String note) {
+        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), type, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0,
                 0, note, null));
     }
 
@@ -238,10 +239,10 @@
     }
 
     /** Writes a response that is due, unless its call is no longer pending. */
-    void sendResponse(Response answer) {
-        NodeConnection side = (NodeConnection) answer.shot().connection();
-        if (side.pendingCall != null && side.pendingCall.shot == answer.shot()) {
-            side.sendResponse(answer);
+    void sendResponse(Response response) {
+        NodeConnection connection = (NodeConnection) response.shot().connection();
+        if (connection.pendingCall != null && connection.pendingCall.shot == response.shot()) {
+            connection.sendResponse(response);
         }
     }
 
@@ -307,7 +308,7 @@
 
         private void handleCall(RawHttpMessage message) {
             String id = message.header("request-id");
-            long number = LAST_CALL_NUMBER.incrementAndGet();
+            long callNumber = LAST_CALL_NUMBER.incrementAndGet();
             synchronized (lock) {
                 if (pendingCall != null) { // one call at a time on a connection
                     reset();
@@ -315,25 +316,25 @@
                 }
                 Shot shot = new Shot(id, message.header("idempotency-key"), node, this, !hasReceivedCall);
                 hasReceivedCall = true;
-                pendingCall = new PendingCall(number, shot);
+                pendingCall = new PendingCall(callNumber, shot);
                 logEvent(EventType.CALL, 0, 0, requestStartMicros, Integer.toString(message.body().length));
                 connectedReceiver.callReceived(TaskScheduler.nowMicros(), shot);
                 scheduleAdvance();
             }
         }
 
-        private void logEvent(EventType what, int status, long toldWait, long began) {
-            logEvent(what, status, toldWait, began, null);
+        private void logEvent(EventType type, int status, long retryAfterMicros, long startMicros) {
+            logEvent(type, status, retryAfterMicros, startMicros, null);
         }
 
-        private void logEvent(EventType what, int status, long toldWait, long began, String note) {
-            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber,
-                    connectedReceiver.uid(), connectedReceiver.destination().number(), connectedReceiver.hall(), status, toldWait,
-                    began, note, null));
+        private void logEvent(EventType type, int status, long retryAfterMicros, long startMicros, String note) {
+            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), type, node, pendingCall.shot.id(), pendingCall.callNumber,
+                    connectedReceiver.uid(), connectedReceiver.destination().number(), connectedReceiver.hall(),
+                    status, retryAfterMicros, startMicros, note, null));
         }
 
-        private void sendResponse(Response answer) {
-            switch (answer.mode()) {
+        private void sendResponse(Response response) {
+            switch (response.mode()) {
                 case NO_RESPONSE -> { }
                 case RESET -> reset();
                 case MALFORMED_STATUS_LINE -> {
@@ -356,51 +357,51 @@
                     scheduler.schedule(TaskScheduler.nowMicros(), () -> continueEndlessBody(0));
                 }
                 case CONNECTION_REJECTED -> {
-                    logEvent(EventType.CALL_ANSWERED, answer.status(), 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, response.status(), 0, 0);
                     pendingCall = null;
-                    write(RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", "Connection: close\r\n", EMPTY_BODY));
+                    write(RawHttpMessage.encode("HTTP/1.1 " + response.status() + " -", "Connection: close\r\n", EMPTY_BODY));
                     close();
                 }
                 default -> {
-                    byte[] bytes = encodeResponse(answer);
-                    logEvent(EventType.CALL_ANSWERED, answer.status(), answer.retryAfterMicros(), 0);
+                    byte[] bytes = encodeResponse(response);
+                    logEvent(EventType.CALL_ANSWERED, response.status(), response.retryAfterMicros(), 0);
                     pendingCall = null;
                     write(bytes);
-                    if (answer.mode() == Response.ResponseMode.DUPLICATED) {
+                    if (response.mode() == Response.ResponseMode.DUPLICATED) {
                         write(bytes);
                     }
                 }
             }
         }
 
-        private void continueEndlessBody(int written) {
-            if (isOpen() && written < ENDLESS_BODY_LIMIT_BYTES) {
-                boolean taken = unsentBytes() == 0;
-                if (taken) {
+        private void continueEndlessBody(int writtenBytes) {
+            if (isOpen() && writtenBytes < ENDLESS_BODY_LIMIT_BYTES) {
+                boolean previousChunkWritten = unsentBytes() == 0;
+                if (previousChunkWritten) {
                     write(ENDLESS_BODY_CHUNK);
                 }
                 scheduler.schedule(TaskScheduler.nowMicros() + 2_000,
-                        () -> continueEndlessBody(written + (taken ? ENDLESS_BODY_CHUNK.length : 0)));
+                        () -> continueEndlessBody(writtenBytes + (previousChunkWritten ? ENDLESS_BODY_CHUNK.length : 0)));
             } else {
                 reset();
             }
         }
 
-        private byte[] encodeResponse(Response answer) {
-            StringBuilder fields = new StringBuilder();
-            if (answer.retryAfterMicros() > 0) {
-                fields.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", answer.retryAfterMicros() / 1e6))
+        private byte[] encodeResponse(Response response) {
+            StringBuilder headers = new StringBuilder();
+            if (response.retryAfterMicros() > 0) {
+                headers.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", response.retryAfterMicros() / 1e6))
                         .append("\r\n");
             }
-            if (answer.loadReport() != null) {
-                fields.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", answer.loadReport()[0],
-                        answer.loadReport()[1]));
+            if (response.loadReport() != null) {
+                headers.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", response.loadReport()[0],
+                        response.loadReport()[1]));
             }
-            return RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", fields.toString(), EMPTY_BODY);
+            return RawHttpMessage.encode("HTTP/1.1 " + response.status() + " -", headers.toString(), EMPTY_BODY);
         }
 
         @Override
-        protected void onMalformedInput(String why) {
+        protected void onMalformedInput(String reason) {
             sendBadRequestAndClose();
         }
 
--- a/src/main/java/terndyke/lab/load/EmulatedClients.java
+++ b/src/main/java/terndyke/lab/load/EmulatedClients.java
@@ -70,10 +70,10 @@
         int attempts;
         String clientRetry;
 
-        PendingRecord(int message, Arrival arrival, long due, boolean extra) {
-            this.recordNumber = message;
+        PendingRecord(int recordNumber, Arrival arrival, long dueMicros, boolean extra) {
+            this.recordNumber = recordNumber;
             this.arrival = arrival;
-            this.dueMicros = due;
+            this.dueMicros = dueMicros;
             this.extra = extra;
             gradeIndex = gradeNames.indexOf(arrival.grade());
             tenantIndex = tenantNames.indexOf(arrival.tenant());
@@ -88,27 +88,27 @@
         }
     }
 
-    public EmulatedClients(Experiment day, SocketReactor net, TaskScheduler ticker, EventLog logbook,
-            List<InetSocketAddress> nodes) {
-        this.experiment = day;
-        this.reactor = net;
-        this.scheduler = ticker;
-        this.eventLog = logbook;
-        this.nodeAddresses = List.copyOf(nodes);
-        gradeNames = day.grades().stream().map(Grade::name).toList();
-        tenantNames = day.tenants().stream().map(Experiment.Tenant::name).toList();
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 17 + 3);
-        idleConnections = nodes.stream().map(node -> new ArrayDeque<ClientConnection>()).toList();
-        nodeUnavailable = new boolean[nodes.size()];
-        connectionCounts = new AtomicInteger[nodes.size()];
+    public EmulatedClients(Experiment experiment, SocketReactor reactor, TaskScheduler scheduler, EventLog eventLog,
+            List<InetSocketAddress> nodeAddresses) {
+        this.experiment = experiment;
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        this.eventLog = eventLog;
+        this.nodeAddresses = List.copyOf(nodeAddresses);
+        gradeNames = experiment.grades().stream().map(Grade::name).toList();
+        tenantNames = experiment.tenants().stream().map(Experiment.Tenant::name).toList();
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 17 + 3);
+        idleConnections = nodeAddresses.stream().map(node -> new ArrayDeque<ClientConnection>()).toList();
+        nodeUnavailable = new boolean[nodeAddresses.size()];
+        connectionCounts = new AtomicInteger[nodeAddresses.size()];
         for (int i = 0; i < connectionCounts.length; i++) {
             connectionCounts[i] = new AtomicInteger();
         }
     }
 
     /** The load balancer in front of the nodes has noticed that a node is unavailable, or available again. */
-    public synchronized void setNodeUnavailable(int node, boolean isAway) {
-        nodeUnavailable[node] = isAway;
+    public synchronized void setNodeUnavailable(int node, boolean unavailable) {
+        nodeUnavailable[node] = unavailable;
     }
 
     /** The number of records that are not yet accepted or given up. */
@@ -132,8 +132,8 @@
     }
 
     /** Sets the share of the records that are preceded by a foreign request under the same id; 0 for none. */
-    public synchronized void setForeignRequestShare(MisbehavingClients sends, double share) {
-        misbehavingClients = sends;
+    public synchronized void setForeignRequestShare(MisbehavingClients clients, double share) {
+        misbehavingClients = clients;
         foreignRequestShare = share;
     }
 
@@ -142,101 +142,103 @@
     }
 
     /** A record is due. Extra records, such as those of a flood, are subject to the rules but do not count in the result. */
-    public void recordDue(int message, Arrival arrival, long due, boolean extra) {
-        PendingRecord hand = new PendingRecord(message, arrival, due, extra);
+    public void recordDue(int recordNumber, Arrival arrival, long dueMicros, boolean extra) {
+        PendingRecord pendingRecord = new PendingRecord(recordNumber, arrival, dueMicros, extra);
         synchronized (this) {
             openRecordCount++;
             handedInCount++;
             if (arrival.key() != null) {
                 ArrayDeque<PendingRecord> waiting = waitingByKey.get(arrival.key());
                 if (waiting != null) {
-                    waiting.add(hand);
+                    waiting.add(pendingRecord);
                     return;
                 }
                 waitingByKey.put(arrival.key(), new ArrayDeque<>());
             }
         }
-        handIn(hand);
+        handIn(pendingRecord);
     }
 
-    private synchronized int chooseNode(PendingRecord hand) {
-        int first = Math.floorMod(hand.arrival.key() != null ? hand.arrival.key().hashCode() : hand.recordNumber,
+    private synchronized int chooseNode(PendingRecord pendingRecord) {
+        int preferredNode = Math.floorMod(
+                pendingRecord.arrival.key() != null ? pendingRecord.arrival.key().hashCode() : pendingRecord.recordNumber,
                 nodeUnavailable.length);
         for (int i = 0; i < nodeUnavailable.length; i++) {
-            int node = (first + i) % nodeUnavailable.length;
+            int node = (preferredNode + i) % nodeUnavailable.length;
             if (!nodeUnavailable[node]) {
                 return node;
             }
         }
-        return first;
+        return preferredNode;
     }
 
-    private void handIn(PendingRecord hand) {
-        int node = chooseNode(hand);
+    private void handIn(PendingRecord pendingRecord) {
+        int node = chooseNode(pendingRecord);
         String id;
-        ClientConnection free;
+        ClientConnection connection;
         synchronized (this) {
-            hand.attempts++;
+            pendingRecord.attempts++;
             id = String.format("%016x", random.nextLong());
             do {
-                free = hand.extra ? null : idleConnections.get(node).pollLast();
-            } while (free != null && !free.isOpen());
+                connection = pendingRecord.extra ? null : idleConnections.get(node).pollLast();
+            } while (connection != null && !connection.isOpen());
         }
-        if (free != null) {
-            free.sendRequest(hand, id);
+        if (connection != null) {
+            connection.sendRequest(pendingRecord, id);
         } else {
-            connectAndHandIn(node, hand, id);
+            connectAndHandIn(node, pendingRecord, id);
         }
     }
 
-    private void connectAndHandIn(int node, PendingRecord hand, String id) {
+    private void connectAndHandIn(int node, PendingRecord pendingRecord, String id) {
         if (connectionCounts[node].get() >= experiment.clients().connections()) {
-            retryOrFinish(hand, null, 0);
+            retryOrFinish(pendingRecord, null, 0);
             return;
         }
         connectionCounts[node].incrementAndGet();
         reactor.connect(nodeAddresses.get(node), experiment.clients().patience().micros(),
-                session -> new ClientConnection(session, node, hand, id), () -> {
+                session -> new ClientConnection(session, node, pendingRecord, id), () -> {
                     connectionCounts[node].decrementAndGet();
-                    retryOrFinish(hand, null, 0); // never handed in, so no response is missing
+                    retryOrFinish(pendingRecord, null, 0); // never handed in, so no response is missing
                 });
     }
 
     /**
-     * Hands the record in again if that is allowed and there is time, else finishes it. The retry is the value of the header
-     * Client-Retry for the next attempt; null leaves the header as it was.
+     * Hands the record in again if that is allowed and there is time, else finishes it. The argument clientRetry is the
+     * value of the header Client-Retry for the next attempt; null leaves the header as it was.
      */
-    private void retryOrFinish(PendingRecord hand, String retry, long toldWait) {
-        long at = TaskScheduler.nowMicros() + Math.max(experiment.clients().again().micros(), toldWait);
-        boolean again = hand.attempts < experiment.clients().tries() && at < hand.deadlineMicros()
-                && (!"again".equals(retry) || hand.serviceGrade().effect() != RepeatSemantics.UNREPEATABLE);
-        if (again) {
-            hand.clientRetry = retry != null ? retry : hand.clientRetry;
-            scheduler.schedule(at, () -> handIn(hand));
+    private void retryOrFinish(PendingRecord pendingRecord, String clientRetry, long retryAfterMicros) {
+        long nextAttemptMicros = TaskScheduler.nowMicros() + Math.max(experiment.clients().again().micros(), retryAfterMicros);
+        boolean handsInAgain = pendingRecord.attempts < experiment.clients().tries()
+                && nextAttemptMicros < pendingRecord.deadlineMicros()
+                && (!"again".equals(clientRetry) || pendingRecord.serviceGrade().effect() != RepeatSemantics.UNREPEATABLE);
+        if (handsInAgain) {
+            pendingRecord.clientRetry = clientRetry != null ? clientRetry : pendingRecord.clientRetry;
+            scheduler.schedule(nextAttemptMicros, () -> handIn(pendingRecord));
         } else {
-            finish(hand, "1".equals(retry) ? 1 : 0);
+            finish(pendingRecord, "1".equals(clientRetry) ? 1 : 0);
         }
     }
 
     /** Finishes a record: 2 accepted, 1 refused, 0 without a response, -1 failed. */
-    private void finish(PendingRecord hand, int how) {
+    private void finish(PendingRecord pendingRecord, int outcome) {
         PendingRecord next = null;
         synchronized (this) {
             openRecordCount--;
-            acceptedCount += how == 2 ? 1 : 0;
-            refusedCount += how == 1 ? 1 : 0;
-            unansweredCount += how == 0 ? 1 : 0;
-            failedCount += how == -1 ? 1 : 0;
-            if (hand.arrival.key() != null) {
-                next = waitingByKey.get(hand.arrival.key()).poll();
+            acceptedCount += outcome == 2 ? 1 : 0;
+            refusedCount += outcome == 1 ? 1 : 0;
+            unansweredCount += outcome == 0 ? 1 : 0;
+            failedCount += outcome == -1 ? 1 : 0;
+            if (pendingRecord.arrival.key() != null) {
+                next = waitingByKey.get(pendingRecord.arrival.key()).poll();
                 if (next == null) {
-                    waitingByKey.remove(hand.arrival.key());
+                    waitingByKey.remove(pendingRecord.arrival.key());
                 }
             }
         }
         if (next != null) {
-            PendingRecord one = next;
-            scheduler.schedule(TaskScheduler.nowMicros(), () -> handIn(one));
+            PendingRecord nextRecord = next;
+            scheduler.schedule(TaskScheduler.nowMicros(), () -> handIn(nextRecord));
         }
     }
 
@@ -244,128 +246,130 @@
     private final class ClientConnection extends RawHttpConnection {
         private final int node;
         private PendingRecord pendingRecord;
-        private HandedInRecord handed;
+        private HandedInRecord handedInRecord;
         private boolean hasReceivedResponse;
         private boolean carriesResend;
         private long requestCount;
 
-        ClientConnection(IOSession session, int node, PendingRecord hand, String id) {
+        ClientConnection(IOSession session, int node, PendingRecord pendingRecord, String id) {
             super(session);
             this.node = node;
-            this.pendingRecord = hand;
-            handed = new HandedInRecord(id, 0, node, 0, 0, null, 0, null, 0, 0, 0, 0, false);
+            this.pendingRecord = pendingRecord;
+            handedInRecord = new HandedInRecord(id, 0, node, 0, 0, null, 0, null, 0, 0, 0, 0, false);
         }
 
         @Override
         protected void onOpen() {
-            sendRequest(pendingRecord, handed.id());
+            sendRequest(pendingRecord, handedInRecord.id());
         }
 
         /** Sends a record; the client's patience starts now. */
-        void sendRequest(PendingRecord one, String id) {
+        void sendRequest(PendingRecord record, String id) {
             long now = TaskScheduler.nowMicros();
-            long left = Math.max(1, one.deadlineMicros() - now);
-            boolean marked = one.serviceGrade().effect() == RepeatSemantics.DEDUPLICATED;
-            HandedInRecord out = new HandedInRecord(id, one.recordNumber, node, one.gradeIndex, one.tenantIndex,
-                    one.arrival.key(), one.arrival.destination(), marked ? idempotencyKey(one.recordNumber) : null,
-                    one.dueMicros, now, left / 1000 * 1000, one.arrival.bytes(), one.extra);
+            long remainingMicros = Math.max(1, record.deadlineMicros() - now);
+            boolean deduplicated = record.serviceGrade().effect() == RepeatSemantics.DEDUPLICATED;
+            HandedInRecord handedIn = new HandedInRecord(id, record.recordNumber, node, record.gradeIndex, record.tenantIndex,
+                    record.arrival.key(), record.arrival.destination(), deduplicated ? idempotencyKey(record.recordNumber) : null,
+                    record.dueMicros, now, remainingMicros / 1000 * 1000, record.arrival.bytes(), record.extra);
             synchronized (this) {
-                pendingRecord = one;
-                handed = out;
+                pendingRecord = record;
+                handedInRecord = handedIn;
                 requestCount++;
             }
-            eventLog.add(ObservedEvent.ofClient(now, EventType.HANDED_IN, out, 0, one.clientRetry));
-            if (!one.extra && drawForeignRequest()) {
-                eventLog.add(ObservedEvent.ofClient(now, EventType.FOREIGN, out, 0, null));
-                misbehavingClients.sendForeignRequest(node, id, one.arrival);
-                scheduler.schedule(now + FOREIGN_REQUEST_LEAD_MICROS, () -> write(encodeRequest(one, out)));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.HANDED_IN, handedIn, 0, record.clientRetry));
+            if (!record.extra && drawForeignRequest()) {
+                eventLog.add(ObservedEvent.ofClient(now, EventType.FOREIGN, handedIn, 0, null));
+                misbehavingClients.sendForeignRequest(node, id, record.arrival);
+                scheduler.schedule(now + FOREIGN_REQUEST_LEAD_MICROS, () -> write(encodeRequest(record, handedIn)));
             } else {
-                write(encodeRequest(one, out));
+                write(encodeRequest(record, handedIn));
             }
-            long number = requestCount;
-            scheduler.schedule(now + experiment.clients().patience().micros(), () -> onResponseTimeout(number));
+            long requestNumber = requestCount;
+            scheduler.schedule(now + experiment.clients().patience().micros(), () -> onResponseTimeout(requestNumber));
         }
 
-        private byte[] encodeRequest(PendingRecord one, HandedInRecord out) {
-            StringBuilder fields = new StringBuilder(256).append("Host: app.svc\r\nRequest-Id: ").append(out.id())
-                    .append("\r\nTenant: ").append(one.arrival.tenant()).append("\r\nRequest-Timeout-Ms: ")
-                    .append(out.timeout() / 1000).append("\r\nX-Consignee: dest=").append(out.destination()).append("\r\n");
-            if (out.key() != null) {
-                fields.append("Cookie: key=").append(out.key()).append("\r\n");
+        private byte[] encodeRequest(PendingRecord record, HandedInRecord handedIn) {
+            StringBuilder headers = new StringBuilder(256).append("Host: app.svc\r\nRequest-Id: ").append(handedIn.id())
+                    .append("\r\nTenant: ").append(record.arrival.tenant()).append("\r\nRequest-Timeout-Ms: ")
+                    .append(handedIn.timeout() / 1000).append("\r\nX-Consignee: dest=").append(handedIn.destination())
+                    .append("\r\n");
+            if (handedIn.key() != null) {
+                headers.append("Cookie: key=").append(handedIn.key()).append("\r\n");
             }
-            if (out.mark() != null) {
-                fields.append("Idempotency-Key: ").append(out.mark()).append("\r\n");
+            if (handedIn.mark() != null) {
+                headers.append("Idempotency-Key: ").append(handedIn.mark()).append("\r\n");
             }
-            if (one.clientRetry != null) {
-                fields.append("Client-Retry: ").append(one.clientRetry).append("\r\n");
+            if (record.clientRetry != null) {
+                headers.append("Client-Retry: ").append(record.clientRetry).append("\r\n");
             }
-            byte[] body = BODY.substring(0, one.arrival.bytes()).getBytes(StandardCharsets.US_ASCII);
-            return RawHttpMessage.encode("POST /" + one.arrival.grade() + " HTTP/1.1", fields.toString(), body);
+            byte[] body = BODY.substring(0, record.arrival.bytes()).getBytes(StandardCharsets.US_ASCII);
+            return RawHttpMessage.encode("POST /" + record.arrival.grade() + " HTTP/1.1", headers.toString(), body);
         }
 
-        private String idempotencyKey(int message) {
-            return String.format("%016x%016x", experiment.seed(), message);
+        private String idempotencyKey(int recordNumber) {
+            return String.format("%016x%016x", experiment.seed(), recordNumber);
         }
 
         private PendingRecord takePendingRecord() {
             synchronized (this) {
-                PendingRecord one = pendingRecord;
+                PendingRecord record = pendingRecord;
                 pendingRecord = null;
-                return one;
+                return record;
             }
         }
 
-        private void onResponseTimeout(long number) {
-            PendingRecord one;
+        private void onResponseTimeout(long requestNumber) {
+            PendingRecord record;
             synchronized (this) {
-                if (requestCount != number || pendingRecord == null) {
+                if (requestCount != requestNumber || pendingRecord == null) {
                     return;
                 }
-                one = takePendingRecord();
+                record = takePendingRecord();
             }
-            eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0, "waited enough"));
+            eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handedInRecord, 0,
+                    "waited enough"));
             reset();
-            retryOrFinish(one, "again", 0);
+            retryOrFinish(record, "again", 0);
         }
 
         @Override
         protected void onMessage(RawHttpMessage message) {
-            HandedInRecord mine = handed;
-            PendingRecord one = takePendingRecord();
-            if (one == null) {
+            HandedInRecord handedIn = handedInRecord;
+            PendingRecord record = takePendingRecord();
+            if (record == null) {
                 reset();
                 return;
             }
             long now = TaskScheduler.nowMicros();
             int status = message.status();
-            eventLog.add(ObservedEvent.ofClient(now, EventType.ANSWERED, mine, status, null));
+            eventLog.add(ObservedEvent.ofClient(now, EventType.ANSWERED, handedIn, status, null));
             hasReceivedResponse = true;
-            boolean taken = status == 202 || status == 200;
-            if (taken) {
+            boolean accepted = status == 202 || status == 200;
+            if (accepted) {
                 synchronized (EmulatedClients.this) {
-                    latencyFromDue.recordValue(Math.min(600_000_000L, now - one.dueMicros));
-                    latencyFromSent.recordValue(Math.min(600_000_000L, now - mine.sent()));
+                    latencyFromDue.recordValue(Math.min(600_000_000L, now - record.dueMicros));
+                    latencyFromSent.recordValue(Math.min(600_000_000L, now - handedIn.sent()));
                 }
             }
-            if (one.extra || "close".equalsIgnoreCase(message.header("Connection"))) {
+            if (record.extra || "close".equalsIgnoreCase(message.header("Connection"))) {
                 close();
             } else {
                 synchronized (EmulatedClients.this) {
                     idleConnections.get(node).add(this);
                 }
             }
-            if (taken) {
-                finish(one, 2);
+            if (accepted) {
+                finish(record, 2);
             } else if (status == 503 || status == 429) {
-                retryOrFinish(one, "1", parseRetryAfterMicros(message.header("Retry-After")));
+                retryOrFinish(record, "1", parseRetryAfterMicros(message.header("Retry-After")));
             } else {
-                finish(one, -1);
+                finish(record, -1);
             }
         }
 
-        private long parseRetryAfterMicros(String told) {
+        private long parseRetryAfterMicros(String headerValue) {
             try {
-                return told == null ? 0 : Math.round(Double.parseDouble(told) * 1e6);
+                return headerValue == null ? 0 : Math.round(Double.parseDouble(headerValue) * 1e6);
             } catch (NumberFormatException e) {
                 return 0;
             }
@@ -377,34 +381,34 @@
             synchronized (EmulatedClients.this) {
                 idleConnections.get(node).remove(this);
             }
-            HandedInRecord mine = handed;
-            PendingRecord one = takePendingRecord();
-            if (one == null) {
+            HandedInRecord handedIn = handedInRecord;
+            PendingRecord record = takePendingRecord();
+            if (record == null) {
                 return;
             }
             long now = TaskScheduler.nowMicros();
             // the node's close crossed the request
-            if (hasReceivedResponse && !carriesResend && now - mine.sent() < CLOSE_RACE_WINDOW_MICROS) {
-                eventLog.add(ObservedEvent.ofClient(now, EventType.SENT_ONCE_MORE, mine, 0, null));
-                resend(one, mine.id());
+            if (hasReceivedResponse && !carriesResend && now - handedIn.sent() < CLOSE_RACE_WINDOW_MICROS) {
+                eventLog.add(ObservedEvent.ofClient(now, EventType.SENT_ONCE_MORE, handedIn, 0, null));
+                resend(record, handedIn.id());
                 return;
             }
-            eventLog.add(ObservedEvent.ofClient(now, EventType.BROKEN, mine, 0,
+            eventLog.add(ObservedEvent.ofClient(now, EventType.BROKEN, handedIn, 0,
                     hasReceivedResponse ? "owed" : "first request of its connection"));
-            retryOrFinish(one, "again", 0);
+            retryOrFinish(record, "again", 0);
         }
 
-        private void resend(PendingRecord one, String id) {
+        private void resend(PendingRecord record, String id) {
             connectionCounts[node].incrementAndGet();
             reactor.connect(nodeAddresses.get(node), experiment.clients().patience().micros(), session -> {
-                ClientConnection side = new ClientConnection(session, node, one, id);
-                side.carriesResend = true;
-                return side;
+                ClientConnection connection = new ClientConnection(session, node, record, id);
+                connection.carriesResend = true;
+                return connection;
             }, () -> {
                 connectionCounts[node].decrementAndGet();
-                eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handed, 0,
+                eventLog.add(ObservedEvent.ofClient(TaskScheduler.nowMicros(), EventType.CLIENT_LEFT, handedInRecord, 0,
                         "its second connection never came up"));
-                retryOrFinish(one, "again", 0);
+                retryOrFinish(record, "again", 0);
             });
         }
     }
--- a/src/main/java/terndyke/lab/load/LoadGenerator.java
+++ b/src/main/java/terndyke/lab/load/LoadGenerator.java
@@ -43,23 +43,23 @@
     public record Result(int offered, long answered, long accepted, long broken, int unanswered, Histogram latencyFromDue,
             Histogram latencyFromSent, Histogram lateness, double seconds) { }
 
-    public LoadGenerator(SocketReactor net, InetSocketAddress to, int connections) {
-        this.reactor = net;
-        this.targetAddress = to;
-        this.maxConnections = connections;
+    public LoadGenerator(SocketReactor reactor, InetSocketAddress targetAddress, int maxConnections) {
+        this.reactor = reactor;
+        this.targetAddress = targetAddress;
+        this.maxConnections = maxConnections;
     }
 
     /** Opens connections before the first due time, so that the measurement does not include connection setup. */
-    public void openConnections(int many) throws InterruptedException {
+    public void openConnections(int count) throws InterruptedException {
         synchronized (this) {
-            for (int i = 0; i < Math.min(many, maxConnections); i++) {
+            for (int i = 0; i < Math.min(count, maxConnections); i++) {
                 connect(null);
             }
         }
-        long end = System.nanoTime() + 5_000_000_000L;
-        while (System.nanoTime() < end) {
+        long endNanos = System.nanoTime() + 5_000_000_000L;
+        while (System.nanoTime() < endNanos) {
             synchronized (this) {
-                if (idleConnections.size() >= Math.min(many, maxConnections)) {
+                if (idleConnections.size() >= Math.min(count, maxConnections)) {
                     return;
                 }
             }
@@ -67,18 +67,19 @@
         }
     }
 
-    /** Runs a schedule, then waits for the outstanding responses for at most patienceMicros. */
-    public Result run(List<Arrival> arrivals, long patienceMicros) throws InterruptedException {
-        long start = System.nanoTime() / 1000 + 50_000;
-        int ran = pacer.run(arrivals.size(), i -> (start + arrivals.get(i).due()) * 1000,
-                i -> requestDue(new PendingRequest(arrivals.get(i), start + arrivals.get(i).due())));
-        long end = System.nanoTime() / 1000 + patienceMicros;
+    /** Runs a schedule, then waits for the outstanding responses for at most timeoutMicros. */
+    public Result run(List<Arrival> arrivals, long timeoutMicros) throws InterruptedException {
+        long startMicros = System.nanoTime() / 1000 + 50_000;
+        int startedCount = pacer.run(arrivals.size(), i -> (startMicros + arrivals.get(i).due()) * 1000,
+                i -> requestDue(new PendingRequest(arrivals.get(i), startMicros + arrivals.get(i).due())));
+        long endMicros = System.nanoTime() / 1000 + timeoutMicros;
         synchronized (this) {
-            while (unfinishedRequestCount > 0 && System.nanoTime() / 1000 < end) {
+            while (unfinishedRequestCount > 0 && System.nanoTime() / 1000 < endMicros) {
                 wait(20);
             }
-            return new Result(ran, answeredCount, acceptedCount, brokenCount, unfinishedRequestCount, latencyFromDue.copy(),
-                    latencyFromSent.copy(), pacer.lateness(), (System.nanoTime() / 1000 - start) / 1e6);
+            return new Result(startedCount, answeredCount, acceptedCount, brokenCount, unfinishedRequestCount,
+                    latencyFromDue.copy(), latencyFromSent.copy(), pacer.lateness(),
+                    (System.nanoTime() / 1000 - startMicros) / 1e6);
         }
     }
 
@@ -87,32 +88,33 @@
         pacer.stop();
     }
 
-    private void requestDue(PendingRequest ask) {
-        ClientConnection side;
+    private void requestDue(PendingRequest request) {
+        ClientConnection connection;
         synchronized (this) {
             unfinishedRequestCount++;
-            side = idleConnections.pollLast();
-            if (side == null) {
+            connection = idleConnections.pollLast();
+            if (connection == null) {
                 if (connectionCount < maxConnections) {
-                    connect(ask);
+                    connect(request);
                 } else {
-                    waitingRequests.add(ask);
+                    waitingRequests.add(request);
                 }
                 return;
             }
         }
-        side.sendRequest(ask);
+        connection.sendRequest(request);
     }
 
-    private void connect(PendingRequest ask) {
+    private void connect(PendingRequest request) {
         connectionCount++;
-        reactor.connect(targetAddress, 5_000_000, session -> new ClientConnection(session, ask), () -> connectionClosed(ask));
+        reactor.connect(targetAddress, 5_000_000, session -> new ClientConnection(session, request),
+                () -> connectionClosed(request));
     }
 
-    private void connectionClosed(PendingRequest ask) {
+    private void connectionClosed(PendingRequest request) {
         synchronized (this) {
             connectionCount--;
-            if (ask != null) {
+            if (request != null) {
                 brokenCount++;
                 unfinishedRequestCount--;
             }
@@ -129,9 +131,9 @@
         private PendingRequest pendingRequest;
         private long sentMicros;
 
-        ClientConnection(IOSession session, PendingRequest ask) {
+        ClientConnection(IOSession session, PendingRequest pendingRequest) {
             super(session);
-            this.pendingRequest = ask;
+            this.pendingRequest = pendingRequest;
         }
 
         @Override
@@ -143,15 +145,15 @@
             }
         }
 
-        void sendRequest(PendingRequest one) {
-            pendingRequest = one;
-            String fields = "Host: app.svc\r\nRequest-Id: " + Long.toHexString(lastRequestId.incrementAndGet() | 1L << 60)
-                    + "\r\nTenant: " + one.arrival.tenant() + "\r\nRequest-Timeout-Ms: 5000\r\nX-Consignee: dest="
-                    + one.arrival.destination() + "\r\n"
-                    + (one.arrival.key() == null ? "" : "Cookie: key=" + one.arrival.key() + "\r\n");
+        void sendRequest(PendingRequest request) {
+            pendingRequest = request;
+            String headers = "Host: app.svc\r\nRequest-Id: " + Long.toHexString(lastRequestId.incrementAndGet() | 1L << 60)
+                    + "\r\nTenant: " + request.arrival.tenant() + "\r\nRequest-Timeout-Ms: 5000\r\nX-Consignee: dest="
+                    + request.arrival.destination() + "\r\n"
+                    + (request.arrival.key() == null ? "" : "Cookie: key=" + request.arrival.key() + "\r\n");
             sentMicros = System.nanoTime() / 1000;
-            write(RawHttpMessage.encode("POST /" + one.arrival.grade() + " HTTP/1.1", fields,
-                    "x".repeat(one.arrival.bytes()).getBytes(StandardCharsets.US_ASCII)));
+            write(RawHttpMessage.encode("POST /" + request.arrival.grade() + " HTTP/1.1", headers,
+                    "x".repeat(request.arrival.bytes()).getBytes(StandardCharsets.US_ASCII)));
         }
 
         private void sendNextOrBecomeIdle() {
@@ -170,8 +172,8 @@
 
         @Override
         protected void onMessage(RawHttpMessage message) {
-            PendingRequest one = pendingRequest;
-            if (one == null) {
+            PendingRequest request = pendingRequest;
+            if (request == null) {
                 reset();
                 return;
             }
@@ -181,7 +183,7 @@
                 unfinishedRequestCount--;
                 answeredCount++;
                 acceptedCount += message.status() == 202 || message.status() == 200 ? 1 : 0;
-                latencyFromDue.recordValue(Math.max(1, Math.min(MAX_LATENCY_MICROS, now - one.dueMicros)));
+                latencyFromDue.recordValue(Math.max(1, Math.min(MAX_LATENCY_MICROS, now - request.dueMicros)));
                 latencyFromSent.recordValue(Math.max(1, Math.min(MAX_LATENCY_MICROS, now - sentMicros)));
             }
             sendNextOrBecomeIdle();
@@ -192,9 +194,9 @@
             synchronized (LoadGenerator.this) {
                 idleConnections.remove(this);
             }
-            PendingRequest one = pendingRequest;
+            PendingRequest request = pendingRequest;
             pendingRequest = null;
-            connectionClosed(one);
+            connectionClosed(request);
         }
     }
 }
--- a/src/main/java/terndyke/lab/load/MisbehavingClients.java
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -33,69 +33,71 @@
     private final String gradeName;
     private final UniformRandomProvider random;
 
-    public MisbehavingClients(SocketReactor net, TaskScheduler ticker, List<InetSocketAddress> nodes, String grade, long seed) {
-        this.reactor = net;
-        this.scheduler = ticker;
-        this.nodeAddresses = nodes;
-        this.gradeName = grade;
+    public MisbehavingClients(SocketReactor reactor, TaskScheduler scheduler, List<InetSocketAddress> nodeAddresses,
+            String gradeName, long seed) {
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        this.nodeAddresses = nodeAddresses;
+        this.gradeName = gradeName;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 13 + 1);
     }
 
     /** Starts the misbehaving clients of a failure; they continue until the given time. */
-    public void beginFailure(Failure failure, long until) {
+    public void beginFailure(Failure failure, long untilMicros) {
         for (int node = 0; node < nodeAddresses.size(); node++) {
             if (failure.affectsNode(node)) {
-                int many = (int) Math.round(failure.amount());
+                int clientCount = (int) Math.round(failure.amount());
                 switch (failure.kind()) {
                     case TRICKLE, MUTE -> {
-                        for (int i = 0; i < many; i++) {
-                            connectSlowClient(failure, node, until);
+                        for (int i = 0; i < clientCount; i++) {
+                            connectSlowClient(failure, node, untilMicros);
                         }
                     }
-                    case GARBAGE -> sendMalformedRequests(node, Math.round(1e6 / failure.amount()), until);
-                    case HUGE -> sendOversizedRequests(node, Math.round(1e6 / failure.amount()), until);
+                    case GARBAGE -> sendMalformedRequests(node, Math.round(1e6 / failure.amount()), untilMicros);
+                    case HUGE -> sendOversizedRequests(node, Math.round(1e6 / failure.amount()), untilMicros);
                     default -> { }
                 }
             }
         }
     }
 
-    private void connectSlowClient(Failure failure, int node, long until) {
-        if (TaskScheduler.nowMicros() < until) {
+    private void connectSlowClient(Failure failure, int node, long untilMicros) {
+        if (TaskScheduler.nowMicros() < untilMicros) {
             reactor.connect(nodeAddresses.get(node), 1_000_000,
-                    session -> new SlowClientConnection(session, failure, node, until),
+                    session -> new SlowClientConnection(session, failure, node, untilMicros),
                     () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS,
-                            () -> connectSlowClient(failure, node, until)));
+                            () -> connectSlowClient(failure, node, untilMicros)));
         }
     }
 
-    private void sendMalformedRequests(int node, long every, long until) {
+    private void sendMalformedRequests(int node, long intervalMicros, long untilMicros) {
         long now = TaskScheduler.nowMicros();
-        if (now < until) {
-            String text;
+        if (now < untilMicros) {
+            String requestFormat;
             synchronized (random) {
-                text = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
+                requestFormat = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
             }
             reactor.connect(nodeAddresses.get(node), 1_000_000,
-                    session -> new SingleRequestConnection(session, String.format(text, gradeName)), () -> { });
-            scheduler.schedule(now + every, () -> sendMalformedRequests(node, every, until));
+                    session -> new SingleRequestConnection(session, String.format(requestFormat, gradeName)), () -> { });
+            scheduler.schedule(now + intervalMicros, () -> sendMalformedRequests(node, intervalMicros, untilMicros));
         }
     }
 
-    private void sendOversizedRequests(int node, long every, long until) {
+    private void sendOversizedRequests(int node, long intervalMicros, long untilMicros) {
         long now = TaskScheduler.nowMicros();
-        if (now < until) {
+        if (now < untilMicros) {
             reactor.connect(nodeAddresses.get(node), 1_000_000, OversizedRequestConnection::new, () -> { });
-            scheduler.schedule(now + every, () -> sendOversizedRequests(node, every, until));
+            scheduler.schedule(now + intervalMicros, () -> sendOversizedRequests(node, intervalMicros, untilMicros));
         }
     }
 
     /** Sends a foreign request under an id that belongs to another client's record. The response is ignored. */
-    void sendForeignRequest(int node, String id, Arrival owner) {
-        String head = "POST /" + owner.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
-                + owner.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + owner.destination()
+    void sendForeignRequest(int node, String id, Arrival arrival) {
+        String requestText = "POST /" + arrival.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
+                + arrival.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + arrival.destination()
                 + "\r\nCookie: key=foreign" + id + "\r\nContent-Length: 0\r\n\r\n";
-        reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, head), () -> { });
+        reactor.connect(nodeAddresses.get(node), 1_000_000,
+                session -> new SingleRequestConnection(session, requestText), () -> { });
     }
 
     /** A connection that sends a body far beyond every limit, as fast as the node reads it. */
@@ -131,7 +133,7 @@
         protected void onMessage(RawHttpMessage message) { }
 
         @Override
-        protected void onMalformedInput(String why) { }
+        protected void onMalformedInput(String reason) { }
     }
 
     /** A connection that sends an incomplete request byte by byte, or nothing. Opened again when the node closes it. */
@@ -142,11 +144,11 @@
         private final byte[] requestHead;
         private int sentBytes;
 
-        SlowClientConnection(IOSession session, Failure failure, int node, long until) {
+        SlowClientConnection(IOSession session, Failure failure, int node, long untilMicros) {
             super(session);
             this.failure = failure;
             this.node = node;
-            this.untilMicros = until;
+            this.untilMicros = untilMicros;
             requestHead = ("POST /" + gradeName + " HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 100000\r\n"
                     + "X-Slow: " + "z".repeat(2_000)).getBytes(StandardCharsets.US_ASCII);
         }
@@ -170,7 +172,7 @@
         protected void onMessage(RawHttpMessage message) { }
 
         @Override
-        protected void onMalformedInput(String why) { }
+        protected void onMalformedInput(String reason) { }
 
         @Override
         protected void onClosed() {
@@ -183,9 +185,9 @@
     private final class SingleRequestConnection extends RawHttpConnection {
         private final String requestText;
 
-        SingleRequestConnection(IOSession session, String text) {
+        SingleRequestConnection(IOSession session, String requestText) {
             super(session);
-            this.requestText = text;
+            this.requestText = requestText;
         }
 
         @Override
--- a/src/main/java/terndyke/lab/load/Pacer.java
+++ b/src/main/java/terndyke/lab/load/Pacer.java
@@ -14,12 +14,14 @@
     private volatile boolean stopped;
 
     /** Runs items 0 to count - 1. The due times are nanoseconds of System.nanoTime. Returns the number of items started. */
-    public int run(int count, IntToLongFunction due, IntConsumer start) {
+    public int run(int count, IntToLongFunction dueTimeNanos, IntConsumer action) {
         for (int i = 0; i < count; i++) {
-            long at = due.applyAsLong(i);
-            for (long left = at - System.nanoTime(); left > 0 && !stopped; left = at - System.nanoTime()) {
-                if (left > SPIN_NANOS) {
-                    LockSupport.parkNanos(Math.min(left - SPIN_NANOS, 100_000_000));
+            long dueNanos = dueTimeNanos.applyAsLong(i);
+            for (long remainingNanos = dueNanos - System.nanoTime();
+                    remainingNanos > 0 && !stopped;
+                    remainingNanos = dueNanos - System.nanoTime()) {
+                if (remainingNanos > SPIN_NANOS) {
+                    LockSupport.parkNanos(Math.min(remainingNanos - SPIN_NANOS, 100_000_000));
                 } else {
                     Thread.onSpinWait();
                 }
@@ -27,8 +29,8 @@
             if (stopped) {
                 return i;
             }
-            lateness.recordValue(Math.min(3_600_000_000L, Math.max(0, (System.nanoTime() - at) / 1000)));
-            start.accept(i);
+            lateness.recordValue(Math.min(3_600_000_000L, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
+            action.accept(i);
         }
         return count;
     }
--- a/src/main/java/terndyke/lab/load/ScheduleGenerator.java
+++ b/src/main/java/terndyke/lab/load/ScheduleGenerator.java
@@ -24,36 +24,37 @@
     private final UniformRandomProvider random;
     private final double lengthSeconds;
 
-    private ScheduleGenerator(Experiment day) {
-        this.experiment = day;
-        load = day.load();
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
-        lengthSeconds = day.length().seconds();
+    private ScheduleGenerator(Experiment experiment) {
+        this.experiment = experiment;
+        load = experiment.load();
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed());
+        lengthSeconds = experiment.length().seconds();
     }
 
     /** Generates the records of an experiment, sorted by due time. */
-    public static List<Arrival> generate(Experiment day) {
-        return new ScheduleGenerator(day).generateArrivals();
+    public static List<Arrival> generate(Experiment experiment) {
+        return new ScheduleGenerator(experiment).generateArrivals();
     }
 
     private List<Arrival> generateArrivals() {
-        double[] grades = cumulativeShares(experiment.grades(), Grade::share);
-        double[] tenants = cumulativeShares(experiment.tenants(), Tenant::share);
-        List<DestinationGroup> kinds = new ArrayList<>();
-        experiment.destinations().forEach(some -> {
-            for (int i = 0; i < some.count(); i++) {
-                kinds.add(some);
+        double[] gradeShares = cumulativeShares(experiment.grades(), Grade::share);
+        double[] tenantShares = cumulativeShares(experiment.tenants(), Tenant::share);
+        List<DestinationGroup> groupsByDestination = new ArrayList<>();
+        experiment.destinations().forEach(group -> {
+            for (int i = 0; i < group.count(); i++) {
+                groupsByDestination.add(group);
             }
         });
-        double[] destinations = cumulativeShares(kinds, DestinationGroup::share);
+        double[] destinationShares = cumulativeShares(groupsByDestination, DestinationGroup::share);
         List<Arrival> arrivals = new ArrayList<>();
-        for (double due : generateDueSeconds()) {
-            Grade grade = experiment.grades().get(drawIndex(grades));
+        for (double dueSeconds : generateDueSeconds()) {
+            Grade grade = experiment.grades().get(drawIndex(gradeShares));
             int key = random.nextInt(load.keys());
             // all records of a key go to the same destination, as one customer's orders go to one supplier
-            int destination = grade.inOrder() ? Math.floorMod(Integer.hashCode(key * 0x9E3779B9), kinds.size())
-                    : drawIndex(destinations);
-            arrivals.add(new Arrival(Math.round(due * 1e6), grade.name(), experiment.tenants().get(drawIndex(tenants)).name(),
+            int destination = grade.inOrder() ? Math.floorMod(Integer.hashCode(key * 0x9E3779B9), groupsByDestination.size())
+                    : drawIndex(destinationShares);
+            arrivals.add(new Arrival(Math.round(dueSeconds * 1e6), grade.name(),
+                    experiment.tenants().get(drawIndex(tenantShares)).name(),
                     grade.inOrder() ? "k" + Integer.toHexString(key) : null, destination, load.bytes()));
         }
         return arrivals;
@@ -61,30 +62,30 @@
 
     /** The due times, in seconds since the start, in ascending order. */
     private List<Double> generateDueSeconds() {
-        List<Double> times = new ArrayList<>();
+        List<Double> dueSeconds = new ArrayList<>();
         if (load.shape() == LoadProfile.Shape.CONSTANT) {
             int count = (int) Math.round(load.rate() * lengthSeconds);
             for (int i = 0; i < count; i++) {
-                times.add(i / load.rate());
+                dueSeconds.add(i / load.rate());
             }
-            return times;
+            return dueSeconds;
         }
-        double most = Math.max(load.rate(), load.peak());
-        double at = 0;
+        double maxRate = Math.max(load.rate(), load.peak());
+        double seconds = 0;
         if (load.shape() == LoadProfile.Shape.CLUMPS) {
-            while ((at += drawExponential(load.rate() / load.clump())) < lengthSeconds) {
+            while ((seconds += drawExponential(load.rate() / load.clump())) < lengthSeconds) {
                 for (int i = 0; i < load.clump(); i++) {
-                    times.add(at);
+                    dueSeconds.add(seconds);
                 }
             }
-            return times;
+            return dueSeconds;
         }
-        while ((at += drawExponential(most)) < lengthSeconds) { // Poisson process at the peak rate, thinned to rateAt
-            if (random.nextDouble() * most < rateAt(at)) {
-                times.add(at);
+        while ((seconds += drawExponential(maxRate)) < lengthSeconds) { // Poisson process at the peak rate, thinned to rateAt
+            if (random.nextDouble() * maxRate < rateAt(seconds)) {
+                dueSeconds.add(seconds);
             }
         }
-        return times;
+        return dueSeconds;
     }
 
     private double drawExponential(double rate) {
@@ -92,13 +93,14 @@
     }
 
     /** The rate in records per second at the given second of the run. */
-    private double rateAt(double at) {
-        double from = load.from() == null ? 0 : load.from().seconds();
-        double until = load.until() == null ? lengthSeconds : load.until().seconds();
+    private double rateAt(double seconds) {
+        double fromSeconds = load.from() == null ? 0 : load.from().seconds();
+        double untilSeconds = load.until() == null ? lengthSeconds : load.until().seconds();
         return switch (load.shape()) {
-            case RAMP -> load.rate() + (load.peak() - load.rate()) * Math.min(1, Math.max(0, (at - from) / (until - from)));
-            case SURGE -> at >= from && at < until ? load.peak() : load.rate();
-            case WAVE -> load.rate() + (load.peak() - load.rate()) * (1 - Math.cos(2 * Math.PI * at / lengthSeconds)) / 2;
+            case RAMP -> load.rate() + (load.peak() - load.rate())
+                    * Math.min(1, Math.max(0, (seconds - fromSeconds) / (untilSeconds - fromSeconds)));
+            case SURGE -> seconds >= fromSeconds && seconds < untilSeconds ? load.peak() : load.rate();
+            case WAVE -> load.rate() + (load.peak() - load.rate()) * (1 - Math.cos(2 * Math.PI * seconds / lengthSeconds)) / 2;
             default -> load.rate();
         };
     }
@@ -113,8 +115,8 @@
         return sums;
     }
 
-    private int drawIndex(double[] sums) {
-        int at = Arrays.binarySearch(sums, random.nextDouble() * sums[sums.length - 1]);
-        return Math.min(sums.length - 1, at < 0 ? -at - 1 : at + 1);
+    private int drawIndex(double[] shareSums) {
+        int index = Arrays.binarySearch(shareSums, random.nextDouble() * shareSums[shareSums.length - 1]);
+        return Math.min(shareSums.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 }
--- a/src/main/java/terndyke/lab/load/TraceFile.java
+++ b/src/main/java/terndyke/lab/load/TraceFile.java
@@ -31,58 +31,58 @@
     /** Writes a schedule to a trace file. */
     public static void write(Path file, List<Arrival> arrivals) throws IOException {
         OutputStream out = Files.newOutputStream(file);
-        try (BufferedWriter lines = new BufferedWriter(new OutputStreamWriter(
+        try (BufferedWriter writer = new BufferedWriter(new OutputStreamWriter(
                 file.toString().endsWith(COMPRESSED_SUFFIX) ? new ZstdOutputStream(out) : out, StandardCharsets.UTF_8))) {
             for (Arrival arrival : arrivals) {
-                lines.write(JSON.writeValueAsString(arrival));
-                lines.newLine();
+                writer.write(JSON.writeValueAsString(arrival));
+                writer.newLine();
             }
         }
     }
 
     /** Reads a trace for an experiment. The exception lists every line that is invalid for it. */
-    public static List<Arrival> read(Path file, Experiment day) throws UserInputException {
+    public static List<Arrival> read(Path file, Experiment experiment) throws UserInputException {
         List<Arrival> arrivals = new ArrayList<>();
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         try (InputStream in = Files.newInputStream(file);
-                BufferedReader lines = new BufferedReader(new InputStreamReader(
+                BufferedReader reader = new BufferedReader(new InputStreamReader(
                         file.toString().endsWith(COMPRESSED_SUFFIX) ? new ZstdInputStream(in) : in, StandardCharsets.UTF_8))) {
-            long last = Long.MIN_VALUE;
+            long lastDueMicros = Long.MIN_VALUE;
             int number = 0;
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 number++;
                 try {
                     Arrival arrival = JSON.readValue(line, Arrival.class);
-                    String fault = validate(arrival, day, last);
-                    if (fault != null) {
-                        faults.add(file + ":" + number + ": " + fault);
+                    String error = validate(arrival, experiment, lastDueMicros);
+                    if (error != null) {
+                        errors.add(file + ":" + number + ": " + error);
                     }
-                    last = arrival.due();
+                    lastDueMicros = arrival.due();
                     arrivals.add(arrival);
                 } catch (JsonProcessingException e) {
-                    faults.add(file + ":" + number + ": " + e.getOriginalMessage().lines().findFirst().orElse(""));
+                    errors.add(file + ":" + number + ": " + e.getOriginalMessage().lines().findFirst().orElse(""));
                 }
             }
         } catch (IOException e) {
             throw new UserInputException(file + ": cannot be read: " + e.getMessage());
         }
-        if (!faults.isEmpty()) {
-            throw new UserInputException(faults);
+        if (!errors.isEmpty()) {
+            throw new UserInputException(errors);
         }
         return arrivals;
     }
 
-    private static String validate(Arrival arrival, Experiment day, long last) {
-        if (arrival.due() < Math.max(0, last)) {
+    private static String validate(Arrival arrival, Experiment experiment, long lastDueMicros) {
+        if (arrival.due() < Math.max(0, lastDueMicros)) {
             return "due: " + arrival.due() + " us is earlier than in the line before";
         }
-        if (day.grades().stream().noneMatch(grade -> grade.name().equals(arrival.grade()))) {
+        if (experiment.grades().stream().noneMatch(grade -> grade.name().equals(arrival.grade()))) {
             return "grade: " + arrival.grade() + " is not in the experiment";
         }
-        if (day.tenants().stream().noneMatch(tenant -> tenant.name().equals(arrival.tenant()))) {
+        if (experiment.tenants().stream().noneMatch(tenant -> tenant.name().equals(arrival.tenant()))) {
             return "tenant: " + arrival.tenant() + " is not in the experiment";
         }
-        if (arrival.destination() < 0 || arrival.destination() >= day.destinationCount()) {
+        if (arrival.destination() < 0 || arrival.destination() >= experiment.destinationCount()) {
             return "destination: " + arrival.destination() + " is not in the experiment";
         }
         return arrival.bytes() < 0 || arrival.bytes() > 65_536 ? "bytes: " + arrival.bytes() + ", allowed: 0 to 65536" : null;
--- a/src/main/java/terndyke/lab/model/EmulatedDestination.java
+++ b/src/main/java/terndyke/lab/model/EmulatedDestination.java
@@ -18,12 +18,12 @@
     private final RateLimiter sharedRateLimiter;
     private final Map<Integer, Map<String, Long>> executionTimesByHall = new HashMap<>();
 
-    /** @param window how long a hall drops repeated calls with the same idempotency key, in microseconds */
-    public EmulatedDestination(int number, DestinationGroup told, long window) {
+    /** @param deduplicationWindowMicros how long a hall drops repeated calls with the same idempotency key */
+    public EmulatedDestination(int number, DestinationGroup configuration, long deduplicationWindowMicros) {
         this.number = number;
-        this.configuration = told;
-        this.deduplicationWindowMicros = window;
-        sharedRateLimiter = new RateLimiter(told.limit());
+        this.configuration = configuration;
+        this.deduplicationWindowMicros = deduplicationWindowMicros;
+        sharedRateLimiter = new RateLimiter(configuration.limit());
     }
 
     public int number() {
@@ -38,13 +38,13 @@
      * Returns whether the hall has executed a call with this idempotency key within the deduplication window. If not, the
      * key is remembered from now on. A null key is never a duplicate.
      */
-    boolean checkAndRememberDuplicate(int hall, String mark, long now) {
-        Map<String, Long> memory = executionTimesByHall.computeIfAbsent(hall, some -> new LinkedHashMap<>());
-        for (Iterator<Long> oldest = memory.values().iterator();
+    boolean checkAndRememberDuplicate(int hall, String idempotencyKey, long now) {
+        Map<String, Long> executionTimes = executionTimesByHall.computeIfAbsent(hall, absent -> new LinkedHashMap<>());
+        for (Iterator<Long> oldest = executionTimes.values().iterator();
                 oldest.hasNext() && oldest.next() < now - deduplicationWindowMicros;) {
             oldest.remove();
         }
-        return mark != null && memory.putIfAbsent(mark, now) != null;
+        return idempotencyKey != null && executionTimes.putIfAbsent(idempotencyKey, now) != null;
     }
 
     /** Clears the executed idempotency keys of a hall. */
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -36,7 +36,7 @@
     private final RateLimiter rateLimiter;
     private final ArrayDeque<Shot> queue = new ArrayDeque<>();
     private final PriorityQueue<ScheduledWork> scheduledWork = new PriorityQueue<>(
-            Comparator.<ScheduledWork>comparingLong(one -> one.dueMicros).thenComparingLong(one -> one.sequence));
+            Comparator.<ScheduledWork>comparingLong(work -> work.dueMicros).thenComparingLong(work -> work.sequence));
     private final Map<Kind, List<Failure>> activeFailures = new EnumMap<>(Kind.class);
     private final List<Shot> callsReadWhileHung = new ArrayList<>();
     private int busyPlaces;
@@ -51,16 +51,16 @@
     /** Work that ends at a given time: a call being executed, or a response that is only waiting to be sent. */
     private record ScheduledWork(long dueMicros, long sequence, Shot shot, Response response, boolean occupiesPlace) { }
 
-    public Receiver(EmulatedDestination site, String uid, int index, int hall, ReceiverListener told,
-            UniformRandomProvider chance) {
-        this.destination = site;
+    public Receiver(EmulatedDestination destination, String uid, int index, int hall, ReceiverListener listener,
+            UniformRandomProvider random) {
+        this.destination = destination;
         this.uid = uid;
         this.index = index;
         this.hall = hall;
-        this.listener = told;
-        this.random = chance;
-        serviceTime = ServiceTime.of(site.configuration.service(), chance);
-        rateLimiter = site.rateLimiterForReceiver();
+        this.listener = listener;
+        this.random = random;
+        serviceTime = ServiceTime.of(destination.configuration.service(), random);
+        rateLimiter = destination.rateLimiterForReceiver();
     }
 
     public EmulatedDestination destination() {
@@ -133,11 +133,11 @@
 
     /** Ends a failure of this receiver. After an outage the receiver recovers slowly. */
     public void endFailure(long now, Failure failure) {
-        List<Failure> same = activeFailures.get(failure.kind());
-        if (same == null || !same.remove(failure)) {
+        List<Failure> failuresOfKind = activeFailures.get(failure.kind());
+        if (failuresOfKind == null || !failuresOfKind.remove(failure)) {
             return;
         }
-        if (same.isEmpty()) {
+        if (failuresOfKind.isEmpty()) {
             activeFailures.remove(failure.kind());
         }
         switch (failure.kind()) {
@@ -185,23 +185,25 @@
     }
 
     private void admitOrReject(long now, Shot shot) {
-        long handshake = shot.firstOnConnection ? destination.configuration.handshake().micros() : 0;
+        long handshakeMicros = shot.firstOnConnection ? destination.configuration.handshake().micros() : 0;
         if (hasFailure(Kind.SHUT) || rejectsNewCalls) {
-            reject(now + handshake, shot, 503, 0);
+            reject(now + handshakeMicros, shot, 503, 0);
         } else if (shot.firstOnConnection && connectionCount > destination.configuration.connections()) {
-            scheduleWork(now + handshake + 200, shot, createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
+            scheduleWork(now + handshakeMicros + 200, shot,
+                    createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
         } else if (!rateLimiter.tryAcquire(now)) {
-            boolean tells = random.nextDouble() < destination.configuration.limit().tellsWait();
-            long wait = Math.max(destination.configuration.limit().toldWait().micros(), rateLimiter.nextPermitMicros(now) - now);
-            reject(now + handshake, shot, tells ? 429 : 503, tells ? wait : 0);
+            boolean sendsRetryAfter = random.nextDouble() < destination.configuration.limit().tellsWait();
+            long retryAfterMicros = Math.max(destination.configuration.limit().toldWait().micros(),
+                    rateLimiter.nextPermitMicros(now) - now);
+            reject(now + handshakeMicros, shot, sendsRetryAfter ? 429 : 503, sendsRetryAfter ? retryAfterMicros : 0);
         } else if (drawFailure(Kind.ERRORS)) {
-            scheduleWork(now + handshake + 500, shot, createResponse(now, shot, 500, 0, ResponseMode.COMPLETE), false);
+            scheduleWork(now + handshakeMicros + 500, shot, createResponse(now, shot, 500, 0, ResponseMode.COMPLETE), false);
         } else if (busyPlaces < availablePlaces(now)) {
-            startService(now + handshake, shot);
+            startService(now + handshakeMicros, shot);
         } else if (queue.size() < destination.configuration.queue()) {
             queue.add(shot);
         } else {
-            reject(now + handshake, shot, 503, 0);
+            reject(now + handshakeMicros, shot, 503, 0);
         }
     }
 
@@ -220,49 +222,50 @@
     /** Completes the work that is due by the given time and starts queued calls on the places that become free. */
     public void advance(long now) {
         while (nextDueMicros() <= now) {
-            ScheduledWork done = scheduledWork.poll();
-            if (done.occupiesPlace) {
+            ScheduledWork work = scheduledWork.poll();
+            if (work.occupiesPlace) {
                 busyPlaces--;
                 while (busyPlaces < availablePlaces(now) && !queue.isEmpty()) {
-                    startService(done.dueMicros, queue.poll());
+                    startService(work.dueMicros, queue.poll());
                 }
             }
-            if (!done.shot.callerDisconnected) {
-                listener.onResponse(this, done.dueMicros, done.response);
+            if (!work.shot.callerDisconnected) {
+                listener.onResponse(this, work.dueMicros, work.response);
             }
         }
     }
 
-    private void reject(long at, Shot shot, int status, long wait) {
-        scheduleWork(at + 200, shot, createResponse(at, shot, status, wait, ResponseMode.COMPLETE), false);
+    private void reject(long atMicros, Shot shot, int status, long retryAfterMicros) {
+        scheduleWork(atMicros + 200, shot,
+                createResponse(atMicros, shot, status, retryAfterMicros, ResponseMode.COMPLETE), false);
     }
 
-    private void startService(long at, Shot shot) {
+    private void startService(long startMicros, Shot shot) {
         busyPlaces++;
-        boolean repeat = destination.checkAndRememberDuplicate(hall, shot.idempotencyKey, at);
-        listener.onExecuted(this, at, shot, repeat);
-        double slow = 1;
+        boolean duplicate = destination.checkAndRememberDuplicate(hall, shot.idempotencyKey, startMicros);
+        listener.onExecuted(this, startMicros, shot, duplicate);
+        double slowdown = 1;
         for (Failure failure : activeFailures.getOrDefault(Kind.SLOW, List.of())) {
-            slow *= failure.amount();
+            slowdown *= failure.amount();
         }
-        long takes = Math.max(1, Math.round(serviceTime.sampleMicros() * slow));
-        ResponseMode manner = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE
+        long serviceMicros = Math.max(1, Math.round(serviceTime.sampleMicros() * slowdown));
+        ResponseMode mode = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE
                 : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
                 : drawFailure(Kind.SPOILT)
                         ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
                 : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY
                 : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
-        scheduleWork(at + takes, shot, createResponse(at, shot, 200, 0, manner), true);
+        scheduleWork(startMicros + serviceMicros, shot, createResponse(startMicros, shot, 200, 0, mode), true);
     }
 
-    private void scheduleWork(long due, Shot shot, Response answer, boolean place) {
-        scheduledWork.add(new ScheduledWork(due, ++lastSequence, shot, answer, place));
+    private void scheduleWork(long dueMicros, Shot shot, Response response, boolean occupiesPlace) {
+        scheduledWork.add(new ScheduledWork(dueMicros, ++lastSequence, shot, response, occupiesPlace));
     }
 
-    private Response createResponse(long now, Shot shot, int status, long wait, ResponseMode manner) {
-        double[] report = destination.configuration.reports()
+    private Response createResponse(long now, Shot shot, int status, long retryAfterMicros, ResponseMode mode) {
+        double[] loadReport = destination.configuration.reports()
                 ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
-        return new Response(shot, status, wait, manner, report);
+        return new Response(shot, status, retryAfterMicros, mode, loadReport);
     }
 
     /** The share of the places that is available now. It is reduced for a while after an outage (slow start). */
@@ -270,9 +273,9 @@
         if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warm = Math.min(1,
+        double warmUpProgress = Math.min(1,
                 (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
-        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warm;
+        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warmUpProgress;
     }
 
     private int availablePlaces(long now) {
@@ -281,9 +284,10 @@
 
     /** The calls per second that the receiver can execute now, from its available places and its rate limit. */
     public double capacityPerSecond(long now) {
-        double most = destination.configuration.places() / Math.max(1e-6, destination.configuration.service().mean().seconds());
-        double limit = rateLimiter.callsPerSecond();
-        return (limit > 0 ? Math.min(limit, most) : most) * availableShare(now);
+        double maxByPlaces = destination.configuration.places()
+                / Math.max(1e-6, destination.configuration.service().mean().seconds());
+        double maxByRateLimit = rateLimiter.callsPerSecond();
+        return (maxByRateLimit > 0 ? Math.min(maxByRateLimit, maxByPlaces) : maxByPlaces) * availableShare(now);
     }
 
     /**
@@ -294,10 +298,10 @@
         if (collapsed || recoveredAtMicros == Long.MIN_VALUE || availableShare(now) >= 1) {
             return collapsed;
         }
-        double bound = destination.configuration.cold().fallMultiple() * capacityPerSecond(now);
-        excessCalls = Math.max(0, excessCalls - (now - excessUpdatedAtMicros) / 1e6 * bound) + 1;
+        double toleratedPerSecond = destination.configuration.cold().fallMultiple() * capacityPerSecond(now);
+        excessCalls = Math.max(0, excessCalls - (now - excessUpdatedAtMicros) / 1e6 * toleratedPerSecond) + 1;
         excessUpdatedAtMicros = now;
-        if (excessCalls > bound * destination.configuration.cold().fallWithin().seconds() + 2) {
+        if (excessCalls > toleratedPerSecond * destination.configuration.cold().fallWithin().seconds() + 2) {
             collapsed = true;
             dropAllCalls();
             listener.onCollapse(this, now);
@@ -310,8 +314,8 @@
     }
 
     private boolean drawFailure(Kind kind) {
-        for (Iterator<Failure> each = activeFailures.getOrDefault(kind, List.of()).iterator(); each.hasNext();) {
-            if (random.nextDouble() < each.next().amount()) {
+        for (Iterator<Failure> failures = activeFailures.getOrDefault(kind, List.of()).iterator(); failures.hasNext();) {
+            if (random.nextDouble() < failures.next().amount()) {
                 return true;
             }
         }
--- a/src/main/java/terndyke/lab/model/ServiceTime.java
+++ b/src/main/java/terndyke/lab/model/ServiceTime.java
@@ -18,26 +18,27 @@
      * Creates the distribution that an experiment configures. The spread is the share of the mean that varies (shifted
      * exponential) or sigma (lognormal).
      */
-    static ServiceTime of(ServiceTimeDistribution told, UniformRandomProvider chance) {
-        double mean = told.mean().micros();
-        return switch (told.shape()) {
+    static ServiceTime of(ServiceTimeDistribution distribution, UniformRandomProvider random) {
+        double mean = distribution.mean().micros();
+        return switch (distribution.shape()) {
             case FIXED -> () -> (long) mean;
-            case EXPONENTIAL -> fromDistribution(ExponentialDistribution.of(Math.max(1, mean)), 0, chance);
+            case EXPONENTIAL -> fromDistribution(ExponentialDistribution.of(Math.max(1, mean)), 0, random);
             case SHIFTED -> {
-                double varies = Math.min(1, told.spread());
-                yield fromDistribution(ExponentialDistribution.of(Math.max(1, mean * varies)), mean * (1 - varies), chance);
+                double variableShare = Math.min(1, distribution.spread());
+                yield fromDistribution(ExponentialDistribution.of(Math.max(1, mean * variableShare)),
+                        mean * (1 - variableShare), random);
             }
             case LOGNORMAL -> fromDistribution(LogNormalDistribution.of(Math.log(Math.max(1, mean))
-                    - told.spread() * told.spread() / 2, told.spread()), 0, chance);
+                    - distribution.spread() * distribution.spread() / 2, distribution.spread()), 0, random);
             case SAMPLE -> {
-                List<TimeSpan> sample = told.sample();
-                yield () -> sample.get(chance.nextInt(sample.size())).micros();
+                List<TimeSpan> sample = distribution.sample();
+                yield () -> sample.get(random.nextInt(sample.size())).micros();
             }
         };
     }
 
-    private static ServiceTime fromDistribution(ContinuousDistribution distribution, double shift, UniformRandomProvider chance) {
-        ContinuousDistribution.Sampler sampler = distribution.createSampler(chance);
+    private static ServiceTime fromDistribution(ContinuousDistribution distribution, double shift, UniformRandomProvider random) {
+        ContinuousDistribution.Sampler sampler = distribution.createSampler(random);
         return () -> Math.round(shift + sampler.sample());
     }
 }
--- a/src/main/java/terndyke/lab/model/Shot.java
+++ b/src/main/java/terndyke/lab/model/Shot.java
@@ -9,11 +9,11 @@
     final boolean firstOnConnection;
     boolean callerDisconnected;
 
-    public Shot(String id, String mark, int node, Object from, boolean firstOnConnection) {
+    public Shot(String id, String idempotencyKey, int node, Object connection, boolean firstOnConnection) {
         this.id = id;
-        this.idempotencyKey = mark;
+        this.idempotencyKey = idempotencyKey;
         this.node = node;
-        this.connection = from;
+        this.connection = connection;
         this.firstOnConnection = firstOnConnection;
     }
 
--- a/src/main/java/terndyke/lab/standin/KnownDelayServer.java
+++ b/src/main/java/terndyke/lab/standin/KnownDelayServer.java
@@ -24,14 +24,14 @@
     private final Histogram serverDelays = new Histogram(1, 600_000_000L, 3);
 
     /**
-     * @param answerAt gives the time of the response for a request read at a time, both in microseconds; the response is
+     * @param responseTime gives the time of the response for a request read at a time, both in microseconds; the response is
      *         written at once if that time is not later
      */
-    public KnownDelayServer(InetSocketAddress address, SocketReactor net, TaskScheduler ticker, LongUnaryOperator answerAt)
-            throws IOException {
-        this.responseTime = answerAt;
-        this.scheduler = ticker;
-        listener = net.listen(address, ServerConnection::new);
+    public KnownDelayServer(InetSocketAddress address, SocketReactor reactor, TaskScheduler scheduler,
+            LongUnaryOperator responseTime) throws IOException {
+        this.responseTime = responseTime;
+        this.scheduler = scheduler;
+        listener = reactor.listen(address, ServerConnection::new);
     }
 
     /**
@@ -57,17 +57,17 @@
         @Override
         protected void onMessage(RawHttpMessage message) {
             long now = TaskScheduler.nowMicros();
-            long at = responseTime.applyAsLong(now);
-            if (at <= now) {
+            long responseMicros = responseTime.applyAsLong(now);
+            if (responseMicros <= now) {
                 write(OK_RESPONSE);
             } else {
-                scheduler.schedule(at, () -> sendResponse(now));
+                scheduler.schedule(responseMicros, () -> sendResponse(now));
             }
         }
 
-        private void sendResponse(long came) {
+        private void sendResponse(long requestMicros) {
             synchronized (serverDelays) {
-                serverDelays.recordValue(Math.max(1, TaskScheduler.nowMicros() - came));
+                serverDelays.recordValue(Math.max(1, TaskScheduler.nowMicros() - requestMicros));
             }
             write(OK_RESPONSE);
         }
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -99,23 +99,24 @@
         int nextEndpointIndex;
     }
 
-    /** @param file the text of a node's configuration file, in the platform's JSON format */
-    public StandInNode(InetSocketAddress listen, SocketReactor net, String file, Fault fault) throws IOException {
-        this.listenAddress = listen;
-        this.reactor = net;
+    /** @param configurationText the text of a node's configuration file, in the platform's JSON format */
+    public StandInNode(InetSocketAddress listenAddress, SocketReactor reactor, String configurationText, Fault fault)
+                throws IOException {
+        this.listenAddress = listenAddress;
+        this.reactor = reactor;
         this.fault = fault;
-        JsonNode told = JSON.readTree(file);
-        agentAddress = parseAddress(told.path("discovery").asText());
-        JsonNode classes = told.path("settings").path("classes");
-        inOrder = new boolean[classes.size()];
-        semantics = new String[classes.size()];
+        JsonNode configuration = JSON.readTree(configurationText);
+        agentAddress = parseAddress(configuration.path("discovery").asText());
+        JsonNode grades = configuration.path("settings").path("classes");
+        inOrder = new boolean[grades.size()];
+        semantics = new String[grades.size()];
         for (int i = 0; i < inOrder.length; i++) {
-            gradeNames.add(classes.get(i).path("name").asText());
-            inOrder[i] = classes.get(i).path("serialByKey").asBoolean();
-            semantics[i] = classes.get(i).path("semantics").asText();
+            gradeNames.add(grades.get(i).path("name").asText());
+            inOrder[i] = grades.get(i).path("serialByKey").asBoolean();
+            semantics[i] = grades.get(i).path("semantics").asText();
         }
-        slots = told.path("settings").path("familyInfo").path("callsOut").asInt();
-        applyList(told.path("known"));
+        slots = configuration.path("settings").path("familyInfo").path("callsOut").asInt();
+        applyList(configuration.path("known"));
     }
 
     /** Parses an address of the form host:port. */
@@ -125,15 +126,15 @@
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private synchronized void applyList(JsonNode told) throws IOException {
-        revision = told.path("rev").asLong();
-        for (JsonNode one : told.path("targets")) {
-            Endpoint endpoint = endpoints.computeIfAbsent(one.path("uid").asText(), uid -> new Endpoint());
-            endpoint.uid = one.path("uid").asText();
-            endpoint.address = parseAddress(one.path("endpoint").asText());
-            endpoint.hall = one.path("az").asText();
-            endpoint.destination = one.path("pod_group").asInt();
-            endpoint.active = one.path("state").asText().equals("active") || fault == Fault.IGNORES_DRAINS;
+    private synchronized void applyList(JsonNode list) throws IOException {
+        revision = list.path("rev").asLong();
+        for (JsonNode target : list.path("targets")) {
+            Endpoint endpoint = endpoints.computeIfAbsent(target.path("uid").asText(), uid -> new Endpoint());
+            endpoint.uid = target.path("uid").asText();
+            endpoint.address = parseAddress(target.path("endpoint").asText());
+            endpoint.hall = target.path("az").asText();
+            endpoint.destination = target.path("pod_group").asInt();
+            endpoint.active = target.path("state").asText().equals("active") || fault == Fault.IGNORES_DRAINS;
         }
     }
 
@@ -194,45 +195,45 @@
         endLatch.countDown();
     }
 
-    private void acceptRecord(PendingRecord owed) {
+    private void acceptRecord(PendingRecord record) {
         acceptedCount++;
-        if (fault == Fault.LOSES && acceptedCount % 10 == 0 && owed.key == null) {
+        if (fault == Fault.LOSES && acceptedCount % 10 == 0 && record.key == null) {
             return;
         }
-        if (inOrder[owed.grade] && owed.key != null && fault != Fault.DISORDERS) {
-            ArrayDeque<PendingRecord> waiting = waitingByKey.get(owed.key);
+        if (inOrder[record.grade] && record.key != null && fault != Fault.DISORDERS) {
+            ArrayDeque<PendingRecord> waiting = waitingByKey.get(record.key);
             if (waiting != null) {
-                waiting.add(owed);
+                waiting.add(record);
                 return;
             }
-            waitingByKey.put(owed.key, new ArrayDeque<>());
+            waitingByKey.put(record.key, new ArrayDeque<>());
         }
-        sendOrWait(owed);
+        sendOrWait(record);
     }
 
     /** Sends a record if it may be sent now; otherwise tries again later, or gives it up when its time is over. */
-    private synchronized void sendOrWait(PendingRecord owed) {
+    private synchronized void sendOrWait(PendingRecord record) {
         long now = TaskScheduler.nowMicros();
         if (stopping) {
             return;
         }
-        if (now > owed.deadlineMicros - 60_000
-                || owed.mayHaveExecuted && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
-            sendNotice(owed, "dead");
+        if (now > record.deadlineMicros - 60_000
+                || record.mayHaveExecuted && semantics[record.grade].equals("fragile") && fault != Fault.REPEATS) {
+            sendNotice(record, "dead");
             return;
         }
-        Endpoint endpoint = chooseEndpoint(owed, now);
+        Endpoint endpoint = chooseEndpoint(record, now);
         if (endpoint == null || callsOut >= slots) {
-            scheduler.schedule(now + 20_000, () -> sendOrWait(owed));
+            scheduler.schedule(now + 20_000, () -> sendOrWait(record));
             return;
         }
         callsOut++;
         limitRateWhileWarmingUp(endpoint, now);
-        reactor.connect(endpoint.address, 500_000, session -> new ShotConnection(session, owed, endpoint), () -> {
+        reactor.connect(endpoint.address, 500_000, session -> new ShotConnection(session, record, endpoint), () -> {
             synchronized (this) {
                 callsOut--;
                 backOff(endpoint, TaskScheduler.nowMicros());
-                scheduler.schedule(TaskScheduler.nowMicros() + 50_000, () -> sendOrWait(owed));
+                scheduler.schedule(TaskScheduler.nowMicros() + 50_000, () -> sendOrWait(record));
             }
         });
     }
@@ -249,30 +250,31 @@
         }
     }
 
-    private Endpoint chooseEndpoint(PendingRecord owed, long now) {
-        if (waitUntilByDestination.getOrDefault(owed.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
+    private Endpoint chooseEndpoint(PendingRecord record, long now) {
+        if (waitUntilByDestination.getOrDefault(record.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
             return null;
         }
-        List<Endpoint> open = endpoints.values().stream().filter(endpoint -> endpoint.destination == owed.destination
+        List<Endpoint> available = endpoints.values().stream().filter(endpoint -> endpoint.destination == record.destination
                 && endpoint.active && endpoint.backoffUntilMicros <= now
-                && (!owed.mayHaveExecuted || !semantics[owed.grade].equals("dedup") || endpoint.hall.equals(owed.hall))).toList();
-        return open.isEmpty() ? null : open.get(Math.floorMod(owed.nextEndpointIndex++, open.size()));
+                && (!record.mayHaveExecuted || !semantics[record.grade].equals("dedup")
+                        || endpoint.hall.equals(record.hall))).toList();
+        return available.isEmpty() ? null : available.get(Math.floorMod(record.nextEndpointIndex++, available.size()));
     }
 
-    private void sendNotice(PendingRecord owed, String result) {
-        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, session -> new NoticeConnection(session, owed, result),
-                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(owed, result)));
+    private void sendNotice(PendingRecord record, String result) {
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, session -> new NoticeConnection(session, record, result),
+                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(record, result)));
     }
 
-    private synchronized void releaseNextOfKey(PendingRecord owed, boolean quiet) {
-        if (owed.key == null || !inOrder[owed.grade] || fault == Fault.DISORDERS) {
+    private synchronized void releaseNextOfKey(PendingRecord record, boolean delayed) {
+        if (record.key == null || !inOrder[record.grade] || fault == Fault.DISORDERS) {
             return;
         }
-        PendingRecord next = waitingByKey.get(owed.key).poll();
+        PendingRecord next = waitingByKey.get(record.key).poll();
         if (next == null) {
-            waitingByKey.remove(owed.key);
+            waitingByKey.remove(record.key);
         } else {
-            scheduler.schedule(TaskScheduler.nowMicros() + (quiet ? 200_000 : 0), () -> sendOrWait(next));
+            scheduler.schedule(TaskScheduler.nowMicros() + (delayed ? 200_000 : 0), () -> sendOrWait(next));
         }
     }
 
@@ -290,18 +292,18 @@
                 write(RawHttpMessage.encode("HTTP/1.1 400 -", "", EMPTY_BODY));
                 return;
             }
-            PendingRecord owed = new PendingRecord();
-            owed.id = message.header("request-id");
+            PendingRecord record = new PendingRecord();
+            record.id = message.header("request-id");
             String cookie = message.header("cookie");
-            owed.key = cookie == null ? null : cookie.substring(cookie.indexOf('=') + 1);
-            owed.idempotencyKey = message.header("idempotency-key");
-            owed.grade = grade;
-            owed.destination = Integer.parseInt(destination.substring(destination.indexOf('=') + 1));
-            owed.deadlineMicros = TaskScheduler.nowMicros() + Long.parseLong(message.header("request-timeout-ms")) * 1000;
-            owed.body = message.body();
+            record.key = cookie == null ? null : cookie.substring(cookie.indexOf('=') + 1);
+            record.idempotencyKey = message.header("idempotency-key");
+            record.grade = grade;
+            record.destination = Integer.parseInt(destination.substring(destination.indexOf('=') + 1));
+            record.deadlineMicros = TaskScheduler.nowMicros() + Long.parseLong(message.header("request-timeout-ms")) * 1000;
+            record.body = message.body();
             write(RawHttpMessage.encode("HTTP/1.1 202 -", "", EMPTY_BODY));
             synchronized (StandInNode.this) {
-                acceptRecord(owed);
+                acceptRecord(record);
             }
         }
     }
@@ -312,18 +314,18 @@
         private final Endpoint endpoint;
         private boolean answered;
 
-        ShotConnection(IOSession session, PendingRecord owed, Endpoint endpoint) {
+        ShotConnection(IOSession session, PendingRecord pendingRecord, Endpoint endpoint) {
             super(session);
-            this.pendingRecord = owed;
+            this.pendingRecord = pendingRecord;
             this.endpoint = endpoint;
         }
 
         @Override
         protected void onOpen() {
             synchronized (StandInNode.this) {
-                boolean waits = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros()
+                boolean mustWait = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros()
                         && fault != Fault.IGNORES_WAITS;
-                if (waits || !endpoint.active) { // changed while the connection was being established
+                if (mustWait || !endpoint.active) { // changed while the connection was being established
                     answered = true;
                     callsOut--;
                     scheduler.schedule(TaskScheduler.nowMicros() + 20_000, () -> sendOrWait(pendingRecord));
@@ -331,8 +333,10 @@
                     return;
                 }
             }
-            String mark = pendingRecord.idempotencyKey == null ? "" : "Idempotency-Key: " + pendingRecord.idempotencyKey + "\r\n";
-            write(RawHttpMessage.encode("POST /events HTTP/1.1", "Host: x\r\nRequest-Id: " + pendingRecord.id + "\r\n" + mark
+            String idempotencyHeader = pendingRecord.idempotencyKey == null
+                    ? "" : "Idempotency-Key: " + pendingRecord.idempotencyKey + "\r\n";
+            write(RawHttpMessage.encode("POST /events HTTP/1.1",
+                    "Host: x\r\nRequest-Id: " + pendingRecord.id + "\r\n" + idempotencyHeader
                     + "Request-Timeout-Ms: 1500\r\n", pendingRecord.body));
             scheduler.schedule(TaskScheduler.nowMicros() + CALL_TIMEOUT_MICROS, this::reset);
         }
@@ -349,10 +353,10 @@
                 switch (message.status()) {
                     case 200 -> releaseNextOfKey(pendingRecord, false);
                     case 429, 503 -> {
-                        String told = message.header("retry-after");
-                        if (told != null) {
+                        String retryAfter = message.header("retry-after");
+                        if (retryAfter != null) {
                             waitUntilByDestination.merge(pendingRecord.destination,
-                                    now + Math.round(Double.parseDouble(told) * 1e6) + 20_000, Math::max);
+                                    now + Math.round(Double.parseDouble(retryAfter) * 1e6) + 20_000, Math::max);
                         } else {
                             backOff(endpoint, now);
                         }
@@ -389,9 +393,9 @@
         private final String result;
         private boolean acknowledged;
 
-        NoticeConnection(IOSession session, PendingRecord owed, String result) {
+        NoticeConnection(IOSession session, PendingRecord pendingRecord, String result) {
             super(session);
-            this.pendingRecord = owed;
+            this.pendingRecord = pendingRecord;
             this.result = result;
         }
 
--- a/src/main/java/terndyke/lab/wire/RawHttpConnection.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpConnection.java
@@ -51,7 +51,7 @@
     protected abstract void onMessage(RawHttpMessage message);
 
     /** The input cannot be parsed as HTTP. By default the connection is reset. */
-    protected void onMalformedInput(String why) {
+    protected void onMalformedInput(String reason) {
         reset();
     }
 
@@ -72,12 +72,12 @@
     public void write(byte[] bytes) {
         session.getLock().lock();
         try {
-            ByteBuffer rest = ByteBuffer.wrap(bytes);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
             if (unsentBuffers.isEmpty()) {
-                session.write(rest);
+                session.write(remaining);
             }
-            if (rest.hasRemaining()) {
-                unsentBuffers.add(rest);
+            if (remaining.hasRemaining()) {
+                unsentBuffers.add(remaining);
                 session.setEvent(SelectionKey.OP_WRITE);
             }
         } catch (IOException | RuntimeException e) {
@@ -114,24 +114,24 @@
     }
 
     @Override
-    public void connected(IOSession one) {
-        one.setEventMask(SelectionKey.OP_READ);
+    public void connected(IOSession ioSession) {
+        ioSession.setEventMask(SelectionKey.OP_READ);
         onOpen();
     }
 
     @Override
-    public void inputReady(IOSession one, ByteBuffer first) throws IOException {
+    public void inputReady(IOSession ioSession, ByteBuffer unused) throws IOException {
         if (readingStopped) {
-            one.clearEvent(SelectionKey.OP_READ);
+            ioSession.clearEvent(SelectionKey.OP_READ);
             return;
         }
         while (true) {
             if (writePosition == buffer.length) {
                 ensureBufferSpace();
             }
-            int read = one.read(ByteBuffer.wrap(buffer, writePosition, buffer.length - writePosition));
+            int read = ioSession.read(ByteBuffer.wrap(buffer, writePosition, buffer.length - writePosition));
             if (read < 0) {
-                one.close(CloseMode.GRACEFUL);
+                ioSession.close(CloseMode.GRACEFUL);
                 return;
             }
             if (read == 0) {
@@ -164,8 +164,8 @@
 
     /** Removes one complete message from the buffer; returns false if there is none yet. */
     private boolean parseMessage() {
-        int head = findHeadEnd();
-        if (head < 0) {
+        int headEnd = findHeadEnd();
+        if (headEnd < 0) {
             if (writePosition - readPosition > MAX_HEAD_BYTES) {
                 onMalformedInput("message head exceeds " + MAX_HEAD_BYTES + " bytes");
                 readPosition = writePosition;
@@ -173,41 +173,41 @@
             return false;
         }
         try {
-            Map<String, String> fields = new HashMap<>();
-            String[] first = null;
-            int at = readPosition;
-            while (at < head) {
-                int end = at;
-                while (buffer[end] != '\n') {
-                    end++;
+            Map<String, String> headers = new HashMap<>();
+            String[] startLine = null;
+            int lineStart = readPosition;
+            while (lineStart < headEnd) {
+                int lineEnd = lineStart;
+                while (buffer[lineEnd] != '\n') {
+                    lineEnd++;
                 }
-                int stop = end > at && buffer[end - 1] == '\r' ? end - 1 : end;
-                if (stop > at && first == null) {
-                    first = new String(buffer, at, stop - at, StandardCharsets.ISO_8859_1).split(" ", 3);
-                    if (first.length < 2 || !first[0].startsWith("HTTP/1.")
-                            && (first.length < 3 || !first[2].startsWith("HTTP/1."))) {
+                int contentEnd = lineEnd > lineStart && buffer[lineEnd - 1] == '\r' ? lineEnd - 1 : lineEnd;
+                if (contentEnd > lineStart && startLine == null) {
+                    startLine = new String(buffer, lineStart, contentEnd - lineStart, StandardCharsets.ISO_8859_1).split(" ", 3);
+                    if (startLine.length < 2 || !startLine[0].startsWith("HTTP/1.")
+                            && (startLine.length < 3 || !startLine[2].startsWith("HTTP/1."))) {
                         throw new ParseException("invalid start line");
                     }
-                } else if (stop > at) {
-                    CharArrayBuffer line = new CharArrayBuffer(stop - at);
-                    line.append(buffer, at, stop - at);
-                    Header field = BasicLineParser.INSTANCE.parseHeader(line);
-                    fields.put(field.getName().toLowerCase(Locale.ROOT), field.getValue());
+                } else if (contentEnd > lineStart) {
+                    CharArrayBuffer line = new CharArrayBuffer(contentEnd - lineStart);
+                    line.append(buffer, lineStart, contentEnd - lineStart);
+                    Header header = BasicLineParser.INSTANCE.parseHeader(line);
+                    headers.put(header.getName().toLowerCase(Locale.ROOT), header.getValue());
                 }
-                at = end + 1;
+                lineStart = lineEnd + 1;
             }
-            int bodyEnd = first == null ? head : head + parseBodyLength(first, fields);
+            int bodyEnd = startLine == null ? headEnd : headEnd + parseBodyLength(startLine, headers);
             if (writePosition < bodyEnd) {
                 return false;
             }
-            byte[] body = Arrays.copyOfRange(buffer, head, bodyEnd);
+            byte[] body = Arrays.copyOfRange(buffer, headEnd, bodyEnd);
             readPosition = bodyEnd;
             if (readPosition == writePosition) {
                 readPosition = 0;
                 writePosition = 0;
             }
-            if (first != null) {
-                onMessage(new RawHttpMessage(first, fields, body));
+            if (startLine != null) {
+                onMessage(new RawHttpMessage(startLine, headers, body));
             }
             return true;
         } catch (ParseException | NumberFormatException e) {
@@ -218,12 +218,12 @@
         }
     }
 
-    private static int parseBodyLength(String[] first, Map<String, String> fields) throws ParseException {
-        String length = fields.get("content-length");
-        if (fields.containsKey("transfer-encoding")) {
+    private static int parseBodyLength(String[] startLine, Map<String, String> headers) throws ParseException {
+        String contentLength = headers.get("content-length");
+        if (headers.containsKey("transfer-encoding")) {
             throw new ParseException("chunked bodies are not supported");
         }
-        int bytes = length == null || first[1].equals("204") ? 0 : Integer.parseInt(length);
+        int bytes = contentLength == null || startLine[1].equals("204") ? 0 : Integer.parseInt(contentLength);
         if (bytes < 0 || bytes > MAX_BODY_BYTES) {
             throw new ParseException("Content-Length of " + bytes + " bytes is out of range");
         }
@@ -241,32 +241,32 @@
     }
 
     @Override
-    public void outputReady(IOSession one) throws IOException {
-        one.getLock().lock();
+    public void outputReady(IOSession ioSession) throws IOException {
+        ioSession.getLock().lock();
         try {
             while (!unsentBuffers.isEmpty()) {
-                one.write(unsentBuffers.peek());
+                ioSession.write(unsentBuffers.peek());
                 if (unsentBuffers.peek().hasRemaining()) {
                     return;
                 }
                 unsentBuffers.poll();
             }
-            one.clearEvent(SelectionKey.OP_WRITE);
+            ioSession.clearEvent(SelectionKey.OP_WRITE);
         } finally {
-            one.getLock().unlock();
+            ioSession.getLock().unlock();
         }
     }
 
     @Override
-    public void timeout(IOSession one, Timeout timeout) { }
+    public void timeout(IOSession ioSession, Timeout timeout) { }
 
     @Override
-    public void exception(IOSession one, Exception cause) {
-        one.close(CloseMode.IMMEDIATE);
+    public void exception(IOSession ioSession, Exception cause) {
+        ioSession.close(CloseMode.IMMEDIATE);
     }
 
     @Override
-    public void disconnected(IOSession one) {
+    public void disconnected(IOSession ioSession) {
         if (!closed) {
             closed = true;
             onClosed();
--- a/src/main/java/terndyke/lab/wire/RawHttpMessage.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpMessage.java
@@ -27,12 +27,12 @@
     }
 
     /** Encodes a message. Each of the given headers ends with CRLF; Content-Length is added. */
-    public static byte[] encode(String first, String fields, byte[] body) {
-        byte[] head = (first + "\r\n" + fields + "Content-Length: " + body.length + "\r\n\r\n")
+    public static byte[] encode(String startLineText, String headerLines, byte[] body) {
+        byte[] head = (startLineText + "\r\n" + headerLines + "Content-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        byte[] whole = new byte[head.length + body.length];
-        System.arraycopy(head, 0, whole, 0, head.length);
-        System.arraycopy(body, 0, whole, head.length, body.length);
-        return whole;
+        byte[] message = new byte[head.length + body.length];
+        System.arraycopy(head, 0, message, 0, head.length);
+        System.arraycopy(body, 0, message, head.length, body.length);
+        return message;
     }
 }
--- a/src/main/java/terndyke/lab/wire/SocketReactor.java
+++ b/src/main/java/terndyke/lab/wire/SocketReactor.java
@@ -34,29 +34,29 @@
     public interface ConnectionFactory extends Function<IOSession, RawHttpConnection> { }
 
     public SocketReactor(String name, int threads) {
-        AtomicInteger number = new AtomicInteger();
-        IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(threads).setTcpNoDelay(true).setSoReuseAddress(true)
+        AtomicInteger threadNumber = new AtomicInteger();
+        IOReactorConfig config = IOReactorConfig.custom().setIoThreadCount(threads).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMilliseconds(50)).setBacklogSize(512).build();
-        reactor = new DefaultListeningIOReactor(SocketReactor::createHandler, io,
-                work -> newDaemonThread(work, name + "-io-" + number.incrementAndGet()),
-                work -> newDaemonThread(work, name + "-accept"), null, cause -> { }, null,
+        reactor = new DefaultListeningIOReactor(SocketReactor::createHandler, config,
+                task -> newDaemonThread(task, name + "-io-" + threadNumber.incrementAndGet()),
+                task -> newDaemonThread(task, name + "-accept"), null, cause -> { }, null,
                 ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK);
         reactor.start();
     }
 
-    private static IOEventHandler createHandler(ProtocolIOSession session, Object maker) {
-        return ((ConnectionFactory) maker).apply(session);
+    private static IOEventHandler createHandler(ProtocolIOSession session, Object factory) {
+        return ((ConnectionFactory) factory).apply(session);
     }
 
-    private static Thread newDaemonThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread newDaemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
     /** Listens on an address until the listener is closed. */
-    public ListenerEndpoint listen(InetSocketAddress address, ConnectionFactory maker) throws IOException {
-        Future<ListenerEndpoint> listening = reactor.listen(address, maker, null);
+    public ListenerEndpoint listen(InetSocketAddress address, ConnectionFactory factory) throws IOException {
+        Future<ListenerEndpoint> listening = reactor.listen(address, factory, null);
         try {
             return listening.get(LISTEN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -68,10 +68,10 @@
     }
 
     /** Connects. The new connection reports its progress by its own callbacks; whenFailed runs if it is not established. */
-    public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory maker, Runnable whenFailed) {
+    public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory factory, Runnable whenFailed) {
         try {
             reactor.connect(new Host(address.getHostString(), address.getPort()), address, null,
-                    Timeout.ofMicroseconds(timeoutMicros), maker,
+                    Timeout.ofMicroseconds(timeoutMicros), factory,
                     new FutureCallback<IOSession>() {
                         @Override
                         public void completed(IOSession session) { }
--- a/src/main/java/terndyke/lab/wire/TaskScheduler.java
+++ b/src/main/java/terndyke/lab/wire/TaskScheduler.java
@@ -32,38 +32,38 @@
     }
 
     /** Runs a task at the given time, or at once if that time has passed. */
-    public void schedule(long micros, Runnable work) {
-        boolean first;
+    public void schedule(long dueMicros, Runnable task) {
+        boolean isFirst;
         synchronized (queue) {
-            ScheduledTask due = new ScheduledTask(micros, ++lastSequence, work);
-            queue.add(due);
-            first = queue.peek() == due;
+            ScheduledTask scheduledTask = new ScheduledTask(dueMicros, ++lastSequence, task);
+            queue.add(scheduledTask);
+            isFirst = queue.peek() == scheduledTask;
         }
-        if (first) {
+        if (isFirst) {
             LockSupport.unpark(thread);
         }
     }
 
     private void run() {
         while (!closed) {
-            ScheduledTask due;
+            ScheduledTask scheduledTask;
             long now = nowMicros();
-            long wait = 1_000_000;
+            long waitMicros = 1_000_000;
             synchronized (queue) {
-                due = queue.peek();
-                if (due != null && due.dueMicros <= now) {
+                scheduledTask = queue.peek();
+                if (scheduledTask != null && scheduledTask.dueMicros <= now) {
                     queue.poll();
                 } else {
-                    wait = due == null ? wait : due.dueMicros - now;
-                    due = null;
+                    waitMicros = scheduledTask == null ? waitMicros : scheduledTask.dueMicros - now;
+                    scheduledTask = null;
                 }
             }
-            if (due == null) {
-                LockSupport.parkNanos(wait * 1000);
+            if (scheduledTask == null) {
+                LockSupport.parkNanos(waitMicros * 1000);
                 continue;
             }
             try {
-                due.task.run();
+                scheduledTask.task.run();
             } catch (RuntimeException e) {
                 firstFailure = firstFailure != null ? firstFailure : e; // other tasks go on, but the run is void
             }
--- a/src/test/java/terndyke/lab/model/ReceiverTest.java
+++ b/src/test/java/terndyke/lab/model/ReceiverTest.java
@@ -38,15 +38,15 @@
         boolean collapsed;
 
         @Override
-        public void onResponse(Receiver receiver, long now, Response answer) {
-            responses.add(answer);
+        public void onResponse(Receiver receiver, long now, Response response) {
+            responses.add(response);
             times.add(now);
         }
 
         @Override
-        public void onExecuted(Receiver receiver, long now, Shot shot, boolean repeat) {
+        public void onExecuted(Receiver receiver, long now, Shot shot, boolean duplicate) {
             executedCount++;
-            duplicateCount += repeat ? 1 : 0;
+            duplicateCount += duplicate ? 1 : 0;
         }
 
         @Override
@@ -62,16 +62,16 @@
         return new DestinationGroup("shop", 1, 2, false, places, queue, service, limit, 100, null, cold, false, null);
     }
 
-    private Receiver receiver(DestinationGroup told) {
-        return receiver(new EmulatedDestination(0, told, 1_000_000), 0, 1);
+    private Receiver receiver(DestinationGroup configuration) {
+        return receiver(new EmulatedDestination(0, configuration, 1_000_000), 0, 1);
     }
 
-    private Receiver receiver(EmulatedDestination site, int hall, long seed) {
-        return new Receiver(site, "s-" + hall, 0, hall, listener, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
+    private Receiver receiver(EmulatedDestination destination, int hall, long seed) {
+        return new Receiver(destination, "s-" + hall, 0, hall, listener, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
     }
 
-    private static Shot shot(String mark) {
-        return new Shot("r", mark, 0, null, false);
+    private static Shot shot(String idempotencyKey) {
+        return new Shot("r", idempotencyKey, 0, null, false);
     }
 
     private static Failure failure(Kind kind, Double amount) {
@@ -98,18 +98,18 @@
     @Test
     void aLimitIsSharedAndItsRetryAfterIsAccurate() {
         RateLimit limit = new RateLimit(10.0, 2.0, null, null, 1.0, TimeSpan.of("50ms"));
-        EmulatedDestination site = new EmulatedDestination(0, shopDestinations(8, 8, TEN_MS, limit, null), 1_000_000);
-        Receiver one = receiver(site, 0, 1);
-        Receiver other = receiver(site, 1, 2);
-        one.callReceived(0, shot(null));
-        other.callReceived(0, shot(null));
-        one.callReceived(0, shot(null));
-        one.advance(5_000);
+        EmulatedDestination destination = new EmulatedDestination(0, shopDestinations(8, 8, TEN_MS, limit, null), 1_000_000);
+        Receiver first = receiver(destination, 0, 1);
+        Receiver second = receiver(destination, 1, 2);
+        first.callReceived(0, shot(null));
+        second.callReceived(0, shot(null));
+        first.callReceived(0, shot(null));
+        first.advance(5_000);
         assertEquals(List.of(429), statuses());
         long wait = listener.responses.get(0).retryAfterMicros();
         assertTrue(wait >= 100_000, "Retry-After covers the time to the next permit, in us: " + wait);
-        one.callReceived(wait, shot(null));
-        one.advance(wait + 20_000);
+        first.callReceived(wait, shot(null));
+        first.advance(wait + 20_000);
         assertEquals(200, statuses().get(statuses().size() - 1));
     }
 
@@ -126,9 +126,9 @@
 
     @Test
     void aHallDropsARepeatWithinItsWindowAndNoOtherHallDoes() {
-        EmulatedDestination site = new EmulatedDestination(0, shopDestinations(8, 8, TEN_MS, null, null), 1_000_000);
-        Receiver east = receiver(site, 0, 1);
-        Receiver west = receiver(site, 1, 2);
+        EmulatedDestination destination = new EmulatedDestination(0, shopDestinations(8, 8, TEN_MS, null, null), 1_000_000);
+        Receiver east = receiver(destination, 0, 1);
+        Receiver west = receiver(destination, 1, 2);
         east.callReceived(0, shot("m"));
         east.callReceived(500_000, shot("m"));
         assertEquals(1, listener.duplicateCount);
@@ -136,7 +136,7 @@
         east.callReceived(1_600_000, shot("m"));
         assertEquals(1, listener.duplicateCount);
         assertEquals(4, listener.executedCount);
-        site.clearExecutionTimes(0);
+        destination.clearExecutionTimes(0);
         east.callReceived(1_700_000, shot("m"));
         assertEquals(1, listener.duplicateCount, "no call is dropped after the hall's memory was cleared");
     }
@@ -158,11 +158,11 @@
         Receiver receiver = receiver(shopDestinations(8, 8, TEN_MS, null, null));
         Failure hang = failure(Kind.HANG, null);
         receiver.beginFailure(0, hang);
-        Shot patient = shot(null);
-        Shot left = shot(null);
-        receiver.callReceived(10, patient);
-        receiver.callReceived(20, left);
-        receiver.callerDisconnected(left);
+        Shot connected = shot(null);
+        Shot disconnected = shot(null);
+        receiver.callReceived(10, connected);
+        receiver.callReceived(20, disconnected);
+        receiver.callerDisconnected(disconnected);
         assertEquals(Long.MAX_VALUE, receiver.nextDueMicros());
         receiver.endFailure(500_000, hang);
         receiver.advance(600_000);
@@ -188,17 +188,18 @@
     @Test
     void aColdReceiverCollapsesWhenOverloadedAndOnlyThen() {
         ColdStart cold = new ColdStart(0.5, TimeSpan.of("10s"), 2.0, TimeSpan.of("1s"));
-        for (int every : new int[] {20_000, 2_000}) { // 50 and 500 calls per second; with half of its places it can execute 100
+        // 50 and 500 calls per second; with half of its places the receiver can execute 100
+        for (int intervalMicros : new int[] {20_000, 2_000}) {
             Receiver receiver = receiver(shopDestinations(2, 100, TEN_MS, null, cold));
             Failure crash = failure(Kind.CRASH, null);
             receiver.beginFailure(0, crash);
             receiver.endFailure(1_000_000, crash);
             listener.collapsed = false;
-            for (long at = 1_000_000; at < 4_000_000; at += every) {
+            for (long at = 1_000_000; at < 4_000_000; at += intervalMicros) {
                 receiver.advance(at);
                 receiver.callReceived(at, shot(null));
             }
-            assertEquals(every == 2_000, listener.collapsed);
+            assertEquals(intervalMicros == 2_000, listener.collapsed);
             assertEquals(listener.collapsed, receiver.isDown());
         }
     }
@@ -223,19 +224,19 @@
         ServiceTimeDistribution service =
                 new ServiceTimeDistribution(ServiceTimeDistribution.Shape.EXPONENTIAL, TimeSpan.of("5ms"), null, null);
         List<List<Long>> runs = new ArrayList<>();
-        for (int again = 0; again < 2; again++) {
-            RecordingListener own = new RecordingListener();
-            EmulatedDestination site =
+        for (int run = 0; run < 2; run++) {
+            RecordingListener runListener = new RecordingListener();
+            EmulatedDestination destination =
                     new EmulatedDestination(0, shopDestinations(places, queue, service, null, null), 1_000_000);
-            Receiver receiver = new Receiver(site, "s", 0, 0, own, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
+            Receiver receiver = new Receiver(destination, "s", 0, 0, runListener, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
             for (int i = 0; i < calls; i++) {
                 receiver.advance(i * 700L);
                 receiver.callReceived(i * 700L, shot(null));
                 assertTrue(receiver.callsInProgress() <= places + queue);
             }
             receiver.advance(Long.MAX_VALUE - 1);
-            assertEquals(calls, own.responses.size());
-            runs.add(own.times);
+            assertEquals(calls, runListener.responses.size());
+            runs.add(runListener.times);
         }
         assertEquals(runs.get(0), runs.get(1), "the same seed gives the same response times");
     }
--- a/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
+++ b/src/test/java/terndyke/lab/standin/StandInNodeRefereeTest.java
@@ -54,14 +54,14 @@
     @ParameterizedTest
     @EnumSource(Fault.class)
     void refereeReportsExactlyTheRuleThatTheStandInBreaks(Fault fault) throws Exception {
-        Experiment day = ExperimentFile.read("proving", EXPERIMENT);
-        ExperimentResult outcome =
-                new ExperimentRun(day, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).execute();
-        assertNull(outcome.voidedBecause());
-        List<Integer> broken = outcome.breaches().stream().map(Breach::rule).distinct().sorted().toList();
-        int rule = fault.ordinal(); // the faults are declared in the order of the rules that they break
-        assertEquals(rule == 0 ? List.of() : List.of(rule), broken, outcome.breaches()::toString);
-        assertEquals(rule == 0 ? 0 : 1, outcome.status());
-        assertTrue(outcome.offeredCount() > 300);
+        Experiment experiment = ExperimentFile.read("proving", EXPERIMENT);
+        ExperimentResult result =
+                new ExperimentRun(experiment, folder, null, fault, new PrintStream(PrintStream.nullOutputStream())).execute();
+        assertNull(result.voidedBecause());
+        List<Integer> brokenRules = result.breaches().stream().map(Breach::rule).distinct().sorted().toList();
+        int expectedRule = fault.ordinal(); // the faults are declared in the order of the rules that they break
+        assertEquals(expectedRule == 0 ? List.of() : List.of(expectedRule), brokenRules, result.breaches()::toString);
+        assertEquals(expectedRule == 0 ? 0 : 1, result.status());
+        assertTrue(result.offeredCount() > 300);
     }
 }
