--- a/src/main/java/terndyke/lab/emulate/Emulator.java
+++ b/src/main/java/terndyke/lab/emulate/Emulator.java
@@ -28,9 +28,9 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** The receiving side on sockets: receivers, discovery, an agent and a sink of notices beside each node. */
+/** Emulates the receiving side on sockets: the receivers, discovery, and for each node an agent that also takes its notices. */
 public final class Emulator implements AutoCloseable {
-    private static final long DRAIN_GRACE_MICROS = 2_500_000; // a receiver that leaves serves on for so long, then turns away
+    private static final long DRAIN_GRACE_MICROS = 2_500_000; // a draining receiver accepts calls for so long, then rejects them
     private static final long DRAIN_REMOVAL_DELAY_MICROS = 4_000_000;
 
     private final Experiment experiment;
@@ -47,20 +47,20 @@
 
     private final ReceiverListener receiverListener = new ReceiverListener() {
         @Override
-        public void onResponse(Receiver receiver, long now, Response answer) {
-            findHost(receiver).sendResponse(answer);
+        public void onResponse(Receiver receiver, long now, Response response) {
+            findHost(receiver).sendResponse(response);
         }
 
         @Override
-        public void onExecuted(Receiver receiver, long now, Shot shot, boolean dropped) {
-            eventLog.add(new ObservedEvent(now, dropped ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0, receiver.uid(),
-                    receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
+        public void onExecuted(Receiver receiver, long now, Shot shot, boolean duplicate) {
+            eventLog.add(new ObservedEvent(now, duplicate ? EventType.DROPPED : EventType.RAN, shot.node(), shot.id(), 0,
+                    receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0, 0, null, null));
         }
 
         @Override
         public void onCollapse(Receiver receiver, long now) {
-            eventLog.add(new ObservedEvent(now, EventType.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(), receiver.hall(), 0, 0,
-                    0, null, null));
+            eventLog.add(new ObservedEvent(now, EventType.FELL, 0, null, 0, receiver.uid(), receiver.destination().number(),
+                    receiver.hall(), 0, 0, 0, null, null));
             scheduler.schedule(now, () -> {
                 findHost(receiver).applyReceiverState();
                 runUnchecked(findHost(receiver)::reopenAddresses);
@@ -68,44 +68,49 @@
         }
     };
 
+    /** An action that may throw an IOException. */
     private interface IoAction {
         void run() throws IOException;
     }
 
-    /** @param probes whether receivers answer probes */
-    public Emulator(Experiment day, EventLog logbook, SocketReactor net, TaskScheduler ticker, boolean probes) throws IOException {
-        this.experiment = day;
-        this.eventLog = logbook;
-        this.reactor = net;
-        this.scheduler = ticker;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed() * 31 + 7);
-        long window = day.grades().stream().filter(grade -> grade.effect() == RepeatSemantics.DEDUPLICATED)
+    /** @param answersProbes whether receivers answer probes */
+    public Emulator(Experiment experiment, EventLog eventLog, SocketReactor reactor, TaskScheduler scheduler,
+            boolean answersProbes) throws IOException {
+        this.experiment = experiment;
+        this.eventLog = eventLog;
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 31 + 7);
+        long deduplicationWindowMicros = experiment.grades().stream()
+                .filter(grade -> grade.effect() == RepeatSemantics.DEDUPLICATED)
                 .mapToLong(grade -> grade.window().micros()).max().orElse(5_000_000);
-        for (DestinationGroup some : day.destinations()) {
-            for (int i = 0; i < some.count(); i++) {
-                EmulatedDestination site = new EmulatedDestination(destinations.size(), some, window);
-                destinations.add(site);
-                for (int index = 0; index < some.receivers(); index++) {
-                    int hall = index % day.halls().size();
-                    ReceiverHost host = new ReceiverHost(net, ticker, logbook, site, day.halls().get(hall), probes);
+        for (DestinationGroup group : experiment.destinations()) {
+            for (int i = 0; i < group.count(); i++) {
+                EmulatedDestination destination = new EmulatedDestination(destinations.size(), group, deduplicationWindowMicros);
+                destinations.add(destination);
+                for (int index = 0; index < group.receivers(); index++) {
+                    int hall = index % experiment.halls().size();
+                    ReceiverHost host = new ReceiverHost(reactor, scheduler, eventLog, destination,
+                            experiment.halls().get(hall), answersProbes);
                     hosts.add(host);
-                    host.startReceiver(createReceiver(site, index, hall, host), day.nodes().count());
+                    host.startReceiver(createReceiver(destination, index, hall, host), experiment.nodes().count());
                     publishState(host, DiscoveryAgent.ACTIVE, 0);
                 }
             }
         }
-        for (int node = 0; node < day.nodes().count(); node++) {
-            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), net, logbook, ticker,
-                    day.list().delay().micros());
+        for (int node = 0; node < experiment.nodes().count(); node++) {
+            DiscoveryAgent agent = new DiscoveryAgent(node, SocketReactor.findFreeAddress("127.0." + (10 + node) + ".2"), reactor,
+                    eventLog, scheduler, experiment.list().delay().micros());
             agents.add(agent);
             registry.subscribe(agent);
         }
     }
 
-    private Receiver createReceiver(EmulatedDestination site, int index, int hall, ReceiverHost host) {
-        RestorableUniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
-        Receiver receiver = new Receiver(site, "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index,
-                hall, receiverListener, own);
+    private Receiver createReceiver(EmulatedDestination destination, int index, int hall, ReceiverHost host) {
+        RestorableUniformRandomProvider receiverRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
+        Receiver receiver = new Receiver(destination,
+                "s-" + Integer.toHexString(++createdReceiverCount) + "-" + Long.toHexString(experiment.seed()), index, hall,
+                receiverListener, receiverRandom);
         hostsByReceiver.put(receiver, host);
         return receiver;
     }
@@ -115,87 +120,91 @@
     }
 
     private void publishState(ReceiverHost host, String state, long bootMillis) {
-        DestinationGroup some = findDestinationGroup(host.destination());
-        double hint = some.limit() != null && some.limit().rate() != null ? some.limit().rate()
-                : some.limit() != null ? some.limit().count() / some.limit().span().seconds()
-                : some.places() / Math.max(0.001, some.service().mean().seconds());
-        registry.publishState(host.receiver().uid(), host, some.kind(), hint, state, bootMillis);
+        DestinationGroup group = findDestinationGroup(host.destination());
+        double capacityHint = group.limit() != null && group.limit().rate() != null ? group.limit().rate()
+                : group.limit() != null ? group.limit().count() / group.limit().span().seconds()
+                : group.places() / Math.max(0.001, group.service().mean().seconds());
+        registry.publishState(host.receiver().uid(), host, group.kind(), capacityHint, state, bootMillis);
     }
 
     private DestinationGroup findDestinationGroup(int number) {
-        int first = 0;
-        for (DestinationGroup some : experiment.destinations()) {
-            first += some.count();
-            if (number < first) {
-                return some;
+        int groupEnd = 0;
+        for (DestinationGroup group : experiment.destinations()) {
+            groupEnd += group.count();
+            if (number < groupEnd) {
+                return group;
             }
         }
-        throw new IllegalArgumentException("destination " + number);
+        throw new IllegalArgumentException("no destination with number " + number);
     }
 
+    /** The discovery agents, by node number. */
     public List<DiscoveryAgent> agents() {
         return agents;
     }
 
-    /** How many receivers serve now. */
+    /** The number of receivers. */
     public int receiverCount() {
         return hosts.size();
     }
 
-    /** Slots and queues by destination: calls in hand, connections. */
+    /** The load by destination: the number of calls in progress (executed or queued), and the number of connections. */
     public int[][] loadByDestination() {
-        int[][] all = new int[destinations.size()][2];
+        int[][] loads = new int[destinations.size()][2];
         for (ReceiverHost host : hosts) {
             Receiver receiver = host.receiver();
             synchronized (receiver.destination()) {
-                all[host.destination()][0] += receiver.callsInProgress();
-                all[host.destination()][1] += receiver.connectionCount();
+                loads[host.destination()][0] += receiver.callsInProgress();
+                loads[host.destination()][1] += receiver.connectionCount();
             }
         }
-        return all;
+        return loads;
     }
 
-    /** A failure of receivers or discovery begins; what befalls whom is drawn from the seed and the failure alone. */
+    /** Starts a failure of receivers or discovery. Which receivers it affects depends only on the seed and the failure. */
     public void beginFailure(Failure failure) {
         if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.beginFailure(failure));
             return;
         }
-        List<ReceiverHost> struck = findAffectedHosts(failure);
-        for (ReceiverHost host : struck) {
+        List<ReceiverHost> affectedHosts = findAffectedHosts(failure);
+        for (ReceiverHost host : affectedHosts) {
             switch (failure.kind()) {
                 case DRAIN -> {
                     publishState(host, DiscoveryAgent.LEAVING, 0);
-                    Receiver leaving = host.receiver();
-                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS, () -> host.rejectNewCalls());
-                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
-                        if (host.receiver() == leaving) {
-                            publishState(host, DiscoveryAgent.LEFT, 0);
-                        }
-                    });
+                    Receiver drainingReceiver = host.receiver();
+                    scheduler.schedule(TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_GRACE_MICROS,
+                            () -> host.rejectNewCalls());
+                    scheduler.schedule(
+                            TaskScheduler.nowMicros() + experiment.list().delay().micros() + DRAIN_REMOVAL_DELAY_MICROS, () -> {
+                                if (host.receiver() == drainingReceiver) {
+                                    publishState(host, DiscoveryAgent.LEFT, 0);
+                                }
+                            });
                 }
                 case REPLACE -> runUnchecked(() -> {
                     publishState(host, DiscoveryAgent.LEFT, 0);
                     synchronized (host.receiver().destination()) {
-                        Receiver old = host.receiver();
-                        host.startReceiver(createReceiver(old.destination(), old.index(), old.hall(), host), experiment.nodes().count());
+                        Receiver previous = host.receiver();
+                        host.startReceiver(createReceiver(previous.destination(), previous.index(), previous.hall(), host),
+                                experiment.nodes().count());
                     }
                     publishState(host, DiscoveryAgent.ACTIVE, System.currentTimeMillis());
                 });
                 default -> host.beginFailure(failure);
             }
         }
-        struck.forEach(host -> runUnchecked(host::reopenAddresses));
+        affectedHosts.forEach(host -> runUnchecked(host::reopenAddresses));
     }
 
-    /** A failure that began here is over. */
+    /** Ends a failure that beginFailure started. */
     public void endFailure(Failure failure) {
         if (failure.kind().targetType() == TargetType.DISCOVERY) {
             findAffectedAgents(failure).forEach(agent -> agent.endFailure(failure));
         } else if (failure.kind() != Kind.DRAIN && failure.kind() != Kind.REPLACE) {
-            List<ReceiverHost> struck = findAffectedHosts(failure);
-            struck.forEach(host -> host.endFailure(failure));
-            struck.forEach(host -> runUnchecked(host::reopenAddresses));
+            List<ReceiverHost> affectedHosts = findAffectedHosts(failure);
+            affectedHosts.forEach(host -> host.endFailure(failure));
+            affectedHosts.forEach(host -> runUnchecked(host::reopenAddresses));
         }
     }
 
@@ -203,29 +212,29 @@
         return IntStream.range(0, agents.size()).filter(failure::affectsNode).mapToObj(agents::get).toList();
     }
 
-    /** The same machines each time it is asked. */
+    /** The hosts that a failure affects; each call with the same failure returns the same hosts. */
     private List<ReceiverHost> findAffectedHosts(Failure failure) {
-        UniformRandomProvider drawn = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
+        UniformRandomProvider hostRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(experiment.seed() * 131 + failure.at().micros()
                 + failure.kind().ordinal());
-        Failure.Target on = failure.on();
-        List<ReceiverHost> struck = new ArrayList<>();
+        Failure.Target target = failure.on();
+        List<ReceiverHost> affectedHosts = new ArrayList<>();
         for (ReceiverHost host : hosts) {
-            boolean named = (on.hall() == null || on.hall().equals(host.hallName()))
-                    && (on.kind() == null || on.kind().equals(findDestinationGroup(host.destination()).kind()))
-                    && (on.destinations() == null || on.destinations().contains(host.destination()))
-                    && (on.receivers() == null || on.receivers().contains(host.receiver().index()));
-            if (named && (on.share() == null || drawn.nextDouble() < on.share())) {
-                struck.add(host);
+            boolean matches = (target.hall() == null || target.hall().equals(host.hallName()))
+                    && (target.kind() == null || target.kind().equals(findDestinationGroup(host.destination()).kind()))
+                    && (target.destinations() == null || target.destinations().contains(host.destination()))
+                    && (target.receivers() == null || target.receivers().contains(host.receiver().index()));
+            if (matches && (target.share() == null || hostRandom.nextDouble() < target.share())) {
+                affectedHosts.add(host);
             }
         }
-        return struck;
+        return affectedHosts;
     }
 
-    private void runUnchecked(IoAction act) {
+    private void runUnchecked(IoAction action) {
         try {
-            act.run();
+            action.run();
         } catch (IOException e) {
-            throw new IllegalStateException("the emulator's sockets: " + e.getMessage(), e);
+            throw new IllegalStateException("emulator socket operation failed: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/terndyke/lab/emulate/ReceiverHost.java
+++ b/src/main/java/terndyke/lab/emulate/ReceiverHost.java
@@ -29,13 +29,13 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * A machine that receivers run on, one after another: an address for each node, and the sockets of the receiver that
- * runs on it now. All of its destination's machines share one lock, the site's.
+ * A host on which receivers run, one after another. It has one address for each node, and the sockets of the receiver that
+ * runs on it now. All hosts of a destination share one lock, the {@link terndyke.lab.model.EmulatedDestination}.
  */
 final class ReceiverHost {
     private static final AtomicLong LAST_CALL_NUMBER = new AtomicLong();
     private static final byte[] ENDLESS_BODY_CHUNK = new byte[32 << 10];
-    private static final int ENDLESS_BODY_LIMIT_BYTES = 8 << 20; // then even an endless answer is cut
+    private static final int ENDLESS_BODY_LIMIT_BYTES = 8 << 20; // then even an endless response ends, by a reset
     private static final byte[] EMPTY_BODY = new byte[0];
 
     private final SocketReactor reactor;
@@ -50,16 +50,17 @@
     private final Set<NodeConnection> connections = new HashSet<>();
     private Receiver receiver;
     private ConnectOutcome connectOutcome = ConnectOutcome.REFUSED;
-    private boolean addressesOutdated; // its addresses are not yet as it meets connections
+    private boolean addressesOutdated; // the listeners do not match connectOutcome yet
     private long nextAdvanceMicros = Long.MAX_VALUE;
 
-    ReceiverHost(SocketReactor net, TaskScheduler ticker, EventLog logbook, Object lock, String hallName, boolean probes) {
-        this.reactor = net;
-        this.scheduler = ticker;
-        this.eventLog = logbook;
+    ReceiverHost(SocketReactor reactor, TaskScheduler scheduler, EventLog eventLog, Object lock, String hallName,
+            boolean answersProbes) {
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        this.eventLog = eventLog;
         this.lock = lock;
         this.hallName = hallName;
-        this.answersProbes = probes;
+        this.answersProbes = answersProbes;
     }
 
     String hallName() {
@@ -82,12 +83,12 @@
         return receiver;
     }
 
-    /** Serves with this receiver from now on; whoever was there before is gone with its connections. */
-    void startReceiver(Receiver next, int nodes) throws IOException {
+    /** Runs this receiver from now on. The connections of the previous one are reset. */
+    void startReceiver(Receiver newReceiver, int nodeCount) throws IOException {
         synchronized (lock) {
-            receiver = next;
+            receiver = newReceiver;
             if (addresses.isEmpty()) {
-                for (int node = 0; node < nodes; node++) {
+                for (int node = 0; node < nodeCount; node++) {
                     addresses.add(SocketReactor.findFreeAddress("127.0." + (10 + node) + ".1"));
                 }
             }
@@ -98,14 +99,14 @@
         }
     }
 
-    /** Closes what no longer meets connections as the receiver does now; reopen does the rest. */
+    /** Closes the listeners if the outcome of new connections has changed; {@link #reopenAddresses} opens them anew. */
     private void updateConnectOutcome() {
-        ConnectOutcome now = receiver.openConnection();
-        if (now == ConnectOutcome.ACCEPTED) {
-            receiver.connectionClosed(); // it was only asked
+        ConnectOutcome newOutcome = receiver.openConnection();
+        if (newOutcome == ConnectOutcome.ACCEPTED) {
+            receiver.connectionClosed(); // openConnection counted a connection that does not exist
         }
-        if (now != connectOutcome) {
-            connectOutcome = now;
+        if (newOutcome != connectOutcome) {
+            connectOutcome = newOutcome;
             addressesOutdated = true;
             listeners.forEach(listener -> listener.close(CloseMode.IMMEDIATE));
             listeners.clear();
@@ -114,7 +115,10 @@
         }
     }
 
-    /** Opens or cuts off the addresses where they changed. Apart from meet, since a closed listener is gone only later. */
+    /**
+     * Opens the addresses, or makes them unreachable, if connectOutcome has changed. Separate from
+     * {@link #updateConnectOutcome}, since a closed listener releases its address only later.
+     */
     void reopenAddresses() throws IOException {
         synchronized (lock) {
             if (!addressesOutdated) {
@@ -122,29 +126,31 @@
             }
             addressesOutdated = false;
             for (int node = 0; node < addresses.size(); node++) {
-                int from = node;
+                int nodeNumber = node;
                 switch (connectOutcome) {
-                    case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(from),
-                            session -> new NodeConnection(session, from))));
-                    case UNREACHABLE -> unreachableAddresses.add(retryOnIoException(() -> new UnreachableAddress(addresses.get(from))));
+                    case ACCEPTED -> listeners.add(retryOnIoException(() -> reactor.listen(addresses.get(nodeNumber),
+                            session -> new NodeConnection(session, nodeNumber))));
+                    case UNREACHABLE -> unreachableAddresses.add(
+                            retryOnIoException(() -> new UnreachableAddress(addresses.get(nodeNumber))));
                     default -> { }
                 }
             }
         }
     }
 
+    /** A supplier that may throw an IOException. */
     private interface IoSupplier<T> {
         T get() throws IOException;
     }
 
-    /** The old listener's socket goes with the next pass of its selector. */
-    private static <T> T retryOnIoException(IoSupplier<T> opening) throws IOException {
-        IOException last = null;
+    /** Retries opening an address, since the socket of a closed listener is released only with its selector's next pass. */
+    private static <T> T retryOnIoException(IoSupplier<T> action) throws IOException {
+        IOException lastException = null;
         for (int i = 0; i < 200; i++) {
             try {
-                return opening.get();
+                return action.get();
             } catch (IOException e) {
-                last = e;
+                lastException = e;
             }
             try {
                 Thread.sleep(5);
@@ -153,7 +159,7 @@
                 break;
             }
         }
-        throw last;
+        throw lastException;
     }
 
     void beginFailure(Failure failure) {
@@ -192,7 +198,7 @@
         }
     }
 
-    /** After anything that changes what it is: its connections and addresses follow. */
+    /** Adapts the connections and addresses after a change of the receiver's state. */
     void applyReceiverState() {
         if (receiver.isDown()) {
             List.copyOf(connections).forEach(RawHttpConnection::reset);
@@ -203,8 +209,9 @@
         scheduleAdvance();
     }
 
-    private void logEvent(EventType what, String note) {
-        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0, 0, note, null));
+    private void logEvent(EventType type, String note) {
+        eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), type, 0, null, 0, receiver.uid(), destination(), hall(), 0, 0,
+                0, note, null));
     }
 
     private void scheduleAdvance() {
@@ -231,18 +238,18 @@
         }
     }
 
-    /** Writes an answer that is due. */
-    void sendResponse(Response answer) {
-        NodeConnection side = (NodeConnection) answer.shot().connection();
-        if (side.pendingCall != null && side.pendingCall.shot == answer.shot()) {
-            side.sendResponse(answer);
+    /** Writes a response that is due, unless its call is no longer pending. */
+    void sendResponse(Response response) {
+        NodeConnection connection = (NodeConnection) response.shot().connection();
+        if (connection.pendingCall != null && connection.pendingCall.shot == response.shot()) {
+            connection.sendResponse(response);
         }
     }
 
-    /** A call that waits for its answer. */
+    /** A call that waits for its response. */
     private record PendingCall(long callNumber, Shot shot) { }
 
-    /** A node's connection. */
+    /** A connection from a node to the receiver. */
     private final class NodeConnection extends RawHttpConnection {
         private final int node;
         private final Receiver connectedReceiver;
@@ -261,7 +268,8 @@
         @Override
         protected void onOpen() {
             synchronized (lock) {
-                countedByReceiver = connectedReceiver == receiver && connectedReceiver.openConnection() == ConnectOutcome.ACCEPTED;
+                countedByReceiver =
+                        connectedReceiver == receiver && connectedReceiver.openConnection() == ConnectOutcome.ACCEPTED;
                 if (!countedByReceiver) {
                     reset();
                     return;
@@ -290,7 +298,8 @@
                 handleCall(message);
             } else if (answersProbes && message.method().equals("GET")) {
                 synchronized (lock) {
-                    write(RawHttpMessage.encode(connectedReceiver.callsInProgress() < 1_000 ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 -", "", EMPTY_BODY));
+                    write(RawHttpMessage.encode(
+                            connectedReceiver.callsInProgress() < 1_000 ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 -", "", EMPTY_BODY));
                 }
             } else {
                 write(RawHttpMessage.encode("HTTP/1.1 404 -", "", EMPTY_BODY));
@@ -299,7 +308,7 @@
 
         private void handleCall(RawHttpMessage message) {
             String id = message.header("request-id");
-            long number = LAST_CALL_NUMBER.incrementAndGet();
+            long callNumber = LAST_CALL_NUMBER.incrementAndGet();
             synchronized (lock) {
                 if (pendingCall != null) { // one call at a time on a connection
                     reset();
@@ -307,24 +316,25 @@
                 }
                 Shot shot = new Shot(id, message.header("idempotency-key"), node, this, !hasReceivedCall);
                 hasReceivedCall = true;
-                pendingCall = new PendingCall(number, shot);
+                pendingCall = new PendingCall(callNumber, shot);
                 logEvent(EventType.CALL, 0, 0, requestStartMicros, Integer.toString(message.body().length));
                 connectedReceiver.callReceived(TaskScheduler.nowMicros(), shot);
                 scheduleAdvance();
             }
         }
 
-        private void logEvent(EventType what, int status, long toldWait, long began) {
-            logEvent(what, status, toldWait, began, null);
+        private void logEvent(EventType type, int status, long retryAfterMicros, long startMicros) {
+            logEvent(type, status, retryAfterMicros, startMicros, null);
         }
 
-        private void logEvent(EventType what, int status, long toldWait, long began, String note) {
-            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), what, node, pendingCall.shot.id(), pendingCall.callNumber, connectedReceiver.uid(), connectedReceiver.destination().number(),
-                    connectedReceiver.hall(), status, toldWait, began, note, null));
+        private void logEvent(EventType type, int status, long retryAfterMicros, long startMicros, String note) {
+            eventLog.add(new ObservedEvent(TaskScheduler.nowMicros(), type, node, pendingCall.shot.id(), pendingCall.callNumber,
+                    connectedReceiver.uid(), connectedReceiver.destination().number(), connectedReceiver.hall(),
+                    status, retryAfterMicros, startMicros, note, null));
         }
 
-        private void sendResponse(Response answer) {
-            switch (answer.mode()) {
+        private void sendResponse(Response response) {
+            switch (response.mode()) {
                 case NO_RESPONSE -> { }
                 case RESET -> reset();
                 case MALFORMED_STATUS_LINE -> {
@@ -336,7 +346,8 @@
                 case MALFORMED_HEADERS -> {
                     logEvent(EventType.CALL_ANSWERED, 200, 0, 0);
                     pendingCall = null;
-                    write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002".getBytes(StandardCharsets.ISO_8859_1));
+                    write("HTTP/1.1 200 OK\r\nContent-Le\u0000ngth: 4x\r\n: \r\n\r\n\u0002"
+                            .getBytes(StandardCharsets.ISO_8859_1));
                     close();
                 }
                 case ENDLESS_BODY -> {
@@ -346,49 +357,51 @@
                     scheduler.schedule(TaskScheduler.nowMicros(), () -> continueEndlessBody(0));
                 }
                 case CONNECTION_REJECTED -> {
-                    logEvent(EventType.CALL_ANSWERED, answer.status(), 0, 0);
+                    logEvent(EventType.CALL_ANSWERED, response.status(), 0, 0);
                     pendingCall = null;
-                    write(RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", "Connection: close\r\n", EMPTY_BODY));
+                    write(RawHttpMessage.encode("HTTP/1.1 " + response.status() + " -", "Connection: close\r\n", EMPTY_BODY));
                     close();
                 }
                 default -> {
-                    byte[] bytes = encodeResponse(answer);
-                    logEvent(EventType.CALL_ANSWERED, answer.status(), answer.retryAfterMicros(), 0);
+                    byte[] bytes = encodeResponse(response);
+                    logEvent(EventType.CALL_ANSWERED, response.status(), response.retryAfterMicros(), 0);
                     pendingCall = null;
                     write(bytes);
-                    if (answer.mode() == Response.ResponseMode.DUPLICATED) {
+                    if (response.mode() == Response.ResponseMode.DUPLICATED) {
                         write(bytes);
                     }
                 }
             }
         }
 
-        private void continueEndlessBody(int written) {
-            if (isOpen() && written < ENDLESS_BODY_LIMIT_BYTES) {
-                boolean taken = unsentBytes() == 0;
-                if (taken) {
+        private void continueEndlessBody(int writtenBytes) {
+            if (isOpen() && writtenBytes < ENDLESS_BODY_LIMIT_BYTES) {
+                boolean previousChunkWritten = unsentBytes() == 0;
+                if (previousChunkWritten) {
                     write(ENDLESS_BODY_CHUNK);
                 }
-                scheduler.schedule(TaskScheduler.nowMicros() + 2_000, () -> continueEndlessBody(written + (taken ? ENDLESS_BODY_CHUNK.length : 0)));
+                scheduler.schedule(TaskScheduler.nowMicros() + 2_000,
+                        () -> continueEndlessBody(writtenBytes + (previousChunkWritten ? ENDLESS_BODY_CHUNK.length : 0)));
             } else {
                 reset();
             }
         }
 
-        private byte[] encodeResponse(Response answer) {
-            StringBuilder fields = new StringBuilder();
-            if (answer.retryAfterMicros() > 0) {
-                fields.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", answer.retryAfterMicros() / 1e6)).append("\r\n");
+        private byte[] encodeResponse(Response response) {
+            StringBuilder headers = new StringBuilder();
+            if (response.retryAfterMicros() > 0) {
+                headers.append("Retry-After: ").append(String.format(Locale.ROOT, "%.3f", response.retryAfterMicros() / 1e6))
+                        .append("\r\n");
             }
-            if (answer.loadReport() != null) {
-                fields.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", answer.loadReport()[0],
-                        answer.loadReport()[1]));
+            if (response.loadReport() != null) {
+                headers.append(String.format(Locale.ROOT, "Server-Load: x0=%.3f,x1=%.3f\r\n", response.loadReport()[0],
+                        response.loadReport()[1]));
             }
-            return RawHttpMessage.encode("HTTP/1.1 " + answer.status() + " -", fields.toString(), EMPTY_BODY);
+            return RawHttpMessage.encode("HTTP/1.1 " + response.status() + " -", headers.toString(), EMPTY_BODY);
         }
 
         @Override
-        protected void onMalformedInput(String why) {
+        protected void onMalformedInput(String reason) {
             sendBadRequestAndClose();
         }
 
--- a/src/main/java/terndyke/lab/load/MisbehavingClients.java
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -15,7 +15,10 @@
 import terndyke.lab.wire.SocketReactor;
 import terndyke.lab.wire.TaskScheduler;
 
-/** Clients that do harm for a while: they trickle, say nothing, or send what cannot be read. They hand in nothing. */
+/**
+ * Clients that misbehave during a failure: they send requests byte by byte, connect and send nothing, or send malformed or
+ * oversized requests. None of these is a record of the schedule.
+ */
 public final class MisbehavingClients {
     private static final long RECONNECT_DELAY_MICROS = 200_000;
     private static final List<String> MALFORMED_REQUESTS = List.of("\r\n\r\n\r\n", "GET\r\n\r\n", "\u0016\u0003\u0001 hello",
@@ -30,69 +33,74 @@
     private final String gradeName;
     private final UniformRandomProvider random;
 
-    public MisbehavingClients(SocketReactor net, TaskScheduler ticker, List<InetSocketAddress> nodes, String grade, long seed) {
-        this.reactor = net;
-        this.scheduler = ticker;
-        this.nodeAddresses = nodes;
-        this.gradeName = grade;
+    public MisbehavingClients(SocketReactor reactor, TaskScheduler scheduler, List<InetSocketAddress> nodeAddresses,
+            String gradeName, long seed) {
+        this.reactor = reactor;
+        this.scheduler = scheduler;
+        this.nodeAddresses = nodeAddresses;
+        this.gradeName = gradeName;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 13 + 1);
     }
 
-    /** Lets such clients loose until a time. */
-    public void beginFailure(Failure failure, long until) {
+    /** Starts the misbehaving clients of a failure; they continue until the given time. */
+    public void beginFailure(Failure failure, long untilMicros) {
         for (int node = 0; node < nodeAddresses.size(); node++) {
             if (failure.affectsNode(node)) {
-                int many = (int) Math.round(failure.amount());
+                int clientCount = (int) Math.round(failure.amount());
                 switch (failure.kind()) {
                     case TRICKLE, MUTE -> {
-                        for (int i = 0; i < many; i++) {
-                            connectSlowClient(failure, node, until);
+                        for (int i = 0; i < clientCount; i++) {
+                            connectSlowClient(failure, node, untilMicros);
                         }
                     }
-                    case GARBAGE -> sendMalformedRequests(node, Math.round(1e6 / failure.amount()), until);
-                    case HUGE -> sendOversizedRequests(node, Math.round(1e6 / failure.amount()), until);
+                    case GARBAGE -> sendMalformedRequests(node, Math.round(1e6 / failure.amount()), untilMicros);
+                    case HUGE -> sendOversizedRequests(node, Math.round(1e6 / failure.amount()), untilMicros);
                     default -> { }
                 }
             }
         }
     }
 
-    private void connectSlowClient(Failure failure, int node, long until) {
-        if (TaskScheduler.nowMicros() < until) {
-            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SlowClientConnection(session, failure, node, until),
-                    () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, until)));
+    private void connectSlowClient(Failure failure, int node, long untilMicros) {
+        if (TaskScheduler.nowMicros() < untilMicros) {
+            reactor.connect(nodeAddresses.get(node), 1_000_000,
+                    session -> new SlowClientConnection(session, failure, node, untilMicros),
+                    () -> scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS,
+                            () -> connectSlowClient(failure, node, untilMicros)));
         }
     }
 
-    private void sendMalformedRequests(int node, long every, long until) {
+    private void sendMalformedRequests(int node, long intervalMicros, long untilMicros) {
         long now = TaskScheduler.nowMicros();
-        if (now < until) {
-            String text;
+        if (now < untilMicros) {
+            String requestFormat;
             synchronized (random) {
-                text = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
+                requestFormat = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
             }
-            reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, String.format(text, gradeName)), () -> { });
-            scheduler.schedule(now + every, () -> sendMalformedRequests(node, every, until));
+            reactor.connect(nodeAddresses.get(node), 1_000_000,
+                    session -> new SingleRequestConnection(session, String.format(requestFormat, gradeName)), () -> { });
+            scheduler.schedule(now + intervalMicros, () -> sendMalformedRequests(node, intervalMicros, untilMicros));
         }
     }
 
-    private void sendOversizedRequests(int node, long every, long until) {
+    private void sendOversizedRequests(int node, long intervalMicros, long untilMicros) {
         long now = TaskScheduler.nowMicros();
-        if (now < until) {
+        if (now < untilMicros) {
             reactor.connect(nodeAddresses.get(node), 1_000_000, OversizedRequestConnection::new, () -> { });
-            scheduler.schedule(now + every, () -> sendOversizedRequests(node, every, until));
+            scheduler.schedule(now + intervalMicros, () -> sendOversizedRequests(node, intervalMicros, untilMicros));
         }
     }
 
-    /** Hands in a foreign record under an id that belongs to another client; nobody reads what it is told. */
-    void sendForeignRequest(int node, String id, Arrival owner) {
-        String head = "POST /" + owner.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
-                + owner.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + owner.destination()
+    /** Sends a foreign request under an id that belongs to another client's record. The response is ignored. */
+    void sendForeignRequest(int node, String id, Arrival arrival) {
+        String requestText = "POST /" + arrival.grade() + " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + id + "\r\nTenant: "
+                + arrival.tenant() + "\r\nRequest-Timeout-Ms: 2000\r\nX-Consignee: dest=" + arrival.destination()
                 + "\r\nCookie: key=foreign" + id + "\r\nContent-Length: 0\r\n\r\n";
-        reactor.connect(nodeAddresses.get(node), 1_000_000, session -> new SingleRequestConnection(session, head), () -> { });
+        reactor.connect(nodeAddresses.get(node), 1_000_000,
+                session -> new SingleRequestConnection(session, requestText), () -> { });
     }
 
-    /** A connection that sends a body far beyond every limit, as fast as it is read. */
+    /** A connection that sends a body far beyond every limit, as fast as the node reads it. */
     private final class OversizedRequestConnection extends RawHttpConnection {
         private static final int BODY_BYTES = 60_000_000;
         private static final byte[] CHUNK = new byte[64 << 10];
@@ -125,10 +133,10 @@
         protected void onMessage(RawHttpMessage message) { }
 
         @Override
-        protected void onMalformedInput(String why) { }
+        protected void onMalformedInput(String reason) { }
     }
 
-    /** A connection that hands in half a request, byte by byte, or nothing. */
+    /** A connection that sends an incomplete request byte by byte, or nothing. Opened again when the node closes it. */
     private final class SlowClientConnection extends RawHttpConnection {
         private final Failure failure;
         private final int node;
@@ -136,11 +144,11 @@
         private final byte[] requestHead;
         private int sentBytes;
 
-        SlowClientConnection(IOSession session, Failure failure, int node, long until) {
+        SlowClientConnection(IOSession session, Failure failure, int node, long untilMicros) {
             super(session);
             this.failure = failure;
             this.node = node;
-            this.untilMicros = until;
+            this.untilMicros = untilMicros;
             requestHead = ("POST /" + gradeName + " HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 100000\r\n"
                     + "X-Slow: " + "z".repeat(2_000)).getBytes(StandardCharsets.US_ASCII);
         }
@@ -164,21 +172,22 @@
         protected void onMessage(RawHttpMessage message) { }
 
         @Override
-        protected void onMalformedInput(String why) { }
+        protected void onMalformedInput(String reason) { }
 
         @Override
         protected void onClosed() {
-            scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS, () -> connectSlowClient(failure, node, untilMicros));
+            scheduler.schedule(TaskScheduler.nowMicros() + RECONNECT_DELAY_MICROS,
+                    () -> connectSlowClient(failure, node, untilMicros));
         }
     }
 
-    /** A connection that sends what cannot be read and goes with the answer, or after a while. */
+    /** A connection that sends one prepared request (malformed or foreign) and closes on the response, or after 3.5 s. */
     private final class SingleRequestConnection extends RawHttpConnection {
         private final String requestText;
 
-        SingleRequestConnection(IOSession session, String text) {
+        SingleRequestConnection(IOSession session, String requestText) {
             super(session);
-            this.requestText = text;
+            this.requestText = requestText;
         }
 
         @Override
@@ -193,7 +202,7 @@
         }
     }
 
-    /** The messages of a flood, as the schedule would hold them. */
+    /** The records of a flood, in the form of schedule entries. */
     public static List<Arrival> floodArrivals(Failure failure, String grade, String tenant, int destinations) {
         List<Arrival> arrivals = new ArrayList<>();
         int count = (int) Math.round(failure.amount() * failure.lasts().seconds());
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -16,13 +16,14 @@
 import terndyke.lab.plan.Failure.Kind;
 
 /**
- * One receiver: places, queue, limit, connections, what is wrong with it now, and how it comes back. Times are whole
- * microseconds of the driver's clock and never go back. Whoever drives it calls advance at nextDue.
+ * One receiver: its places (calls executed at the same time), queue, rate limit, connections, active failures, and its
+ * slow start after an outage. Times are whole microseconds of the driver's clock and never go back. The driver calls
+ * {@link #advance} at {@link #nextDueMicros}.
  */
 public final class Receiver {
     private static final double[] NO_REPORT = null;
 
-    /** How a connection that comes is met. */
+    /** What happens to a new connection. */
     public enum ConnectOutcome { ACCEPTED, REFUSED, UNREACHABLE }
 
     private final EmulatedDestination destination;
@@ -35,30 +36,31 @@
     private final RateLimiter rateLimiter;
     private final ArrayDeque<Shot> queue = new ArrayDeque<>();
     private final PriorityQueue<ScheduledWork> scheduledWork = new PriorityQueue<>(
-            Comparator.<ScheduledWork>comparingLong(one -> one.dueMicros).thenComparingLong(one -> one.sequence));
+            Comparator.<ScheduledWork>comparingLong(work -> work.dueMicros).thenComparingLong(work -> work.sequence));
     private final Map<Kind, List<Failure>> activeFailures = new EnumMap<>(Kind.class);
-    private final List<Shot> callsReadWhileHung = new ArrayList<>(); // read while it hung
+    private final List<Shot> callsReadWhileHung = new ArrayList<>();
     private int busyPlaces;
     private int connectionCount;
     private long lastSequence;
-    private long recoveredAtMicros = Long.MIN_VALUE; // when it came back from an outage
+    private long recoveredAtMicros = Long.MIN_VALUE; // end of the last outage
     private long excessUpdatedAtMicros;
-    private double excessCalls; // calls above what it can do, since it came back
+    private double excessCalls; // calls above the tolerated rate since the end of the outage
     private boolean collapsed;
     private boolean rejectsNewCalls;
 
-    /** A piece of work that ends at a time: a call under way, or an answer that only waits for its time. */
+    /** Work that ends at a given time: a call being executed, or a response that is only waiting to be sent. */
     private record ScheduledWork(long dueMicros, long sequence, Shot shot, Response response, boolean occupiesPlace) { }
 
-    public Receiver(EmulatedDestination site, String uid, int index, int hall, ReceiverListener told, UniformRandomProvider chance) {
-        this.destination = site;
+    public Receiver(EmulatedDestination destination, String uid, int index, int hall, ReceiverListener listener,
+            UniformRandomProvider random) {
+        this.destination = destination;
         this.uid = uid;
         this.index = index;
         this.hall = hall;
-        this.listener = told;
-        this.random = chance;
-        serviceTime = ServiceTime.of(site.configuration.service(), chance);
-        rateLimiter = site.rateLimiterForReceiver();
+        this.listener = listener;
+        this.random = random;
+        serviceTime = ServiceTime.of(destination.configuration.service(), random);
+        rateLimiter = destination.rateLimiterForReceiver();
     }
 
     public EmulatedDestination destination() {
@@ -69,7 +71,7 @@
         return uid;
     }
 
-    /** Its place among the receivers of its destination. */
+    /** The receiver's index within its destination. */
     public int index() {
         return index;
     }
@@ -78,7 +80,7 @@
         return hall;
     }
 
-    /** Shots at work and in the queue. */
+    /** Calls that are being executed or queued. */
     public int callsInProgress() {
         return busyPlaces + queue.size();
     }
@@ -87,7 +89,7 @@
         return connectionCount;
     }
 
-    /** What a connection that comes now meets; one that comes up has to be told again once it ends. */
+    /** Opens a connection. For each accepted one the caller calls {@link #connectionClosed} when it ends. */
     public ConnectOutcome openConnection() {
         if (hasFailure(Kind.SILENT) || hasFailure(Kind.NEVER_UP)) {
             return ConnectOutcome.UNREACHABLE;
@@ -103,22 +105,22 @@
         connectionCount--;
     }
 
-    /** Whether its process is gone, so that no connection to it lives. */
+    /** Whether the process is down, so that no connection to it remains open. */
     public boolean isDown() {
         return collapsed || hasFailure(Kind.CRASH);
     }
 
-    /** Whether it reads nothing and writes nothing. */
+    /** Whether the receiver neither reads nor writes. */
     public boolean isSilent() {
         return hasFailure(Kind.SILENT);
     }
 
-    /** Whether a call that has begun to come is cut off by a reset before its last byte. */
+    /** Draws whether a call that has begun to arrive is cut off by a reset before its last byte. */
     public boolean drawRequestReset() {
         return drawFailure(Kind.RESET_BEFORE);
     }
 
-    /** A failure begins here. */
+    /** Starts a failure of this receiver. */
     public void beginFailure(long now, Failure failure) {
         if (failure.kind() == Kind.CRASH || failure.kind() == Kind.SILENT) {
             advance(now);
@@ -129,13 +131,13 @@
         }
     }
 
-    /** A failure is over here. What was an outage leaves a cold receiver behind. */
+    /** Ends a failure of this receiver. After an outage the receiver recovers slowly. */
     public void endFailure(long now, Failure failure) {
-        List<Failure> same = activeFailures.get(failure.kind());
-        if (same == null || !same.remove(failure)) {
+        List<Failure> failuresOfKind = activeFailures.get(failure.kind());
+        if (failuresOfKind == null || !failuresOfKind.remove(failure)) {
             return;
         }
-        if (same.isEmpty()) {
+        if (failuresOfKind.isEmpty()) {
             activeFailures.remove(failure.kind());
         }
         switch (failure.kind()) {
@@ -149,7 +151,7 @@
             default -> { }
         }
         if (failure.kind() == Kind.SILENT) {
-            dropAllCalls(); // its connections are reset when the machine is back
+            dropAllCalls(); // its connections are reset when the machine can be reached again
         }
         if (failure.kind() == Kind.HANG && !hasFailure(Kind.HANG)) {
             List<Shot> waiting = List.copyOf(callsReadWhileHung);
@@ -158,7 +160,7 @@
         }
     }
 
-    /** It takes no new work any more, and never will again. */
+    /** Rejects all new calls from now on, permanently. */
     public void rejectNewCalls() {
         rejectsNewCalls = true;
     }
@@ -170,7 +172,7 @@
         busyPlaces = 0;
     }
 
-    /** A call has come to its last byte. */
+    /** A call has been read to its last byte. */
     public void callReceived(long now, Shot shot) {
         if (updateExcessCalls(now)) {
             return;
@@ -183,111 +185,123 @@
     }
 
     private void admitOrReject(long now, Shot shot) {
-        long handshake = shot.firstOnConnection ? destination.configuration.handshake().micros() : 0;
+        long handshakeMicros = shot.firstOnConnection ? destination.configuration.handshake().micros() : 0;
         if (hasFailure(Kind.SHUT) || rejectsNewCalls) {
-            reject(now + handshake, shot, 503, 0);
+            reject(now + handshakeMicros, shot, 503, 0);
         } else if (shot.firstOnConnection && connectionCount > destination.configuration.connections()) {
-            scheduleWork(now + handshake + 200, shot, createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
+            scheduleWork(now + handshakeMicros + 200, shot,
+                    createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
         } else if (!rateLimiter.tryAcquire(now)) {
-            boolean tells = random.nextDouble() < destination.configuration.limit().tellsWait();
-            long wait = Math.max(destination.configuration.limit().toldWait().micros(), rateLimiter.nextPermitMicros(now) - now);
-            reject(now + handshake, shot, tells ? 429 : 503, tells ? wait : 0);
+            boolean sendsRetryAfter = random.nextDouble() < destination.configuration.limit().tellsWait();
+            long retryAfterMicros = Math.max(destination.configuration.limit().toldWait().micros(),
+                    rateLimiter.nextPermitMicros(now) - now);
+            reject(now + handshakeMicros, shot, sendsRetryAfter ? 429 : 503, sendsRetryAfter ? retryAfterMicros : 0);
         } else if (drawFailure(Kind.ERRORS)) {
-            scheduleWork(now + handshake + 500, shot, createResponse(now, shot, 500, 0, ResponseMode.COMPLETE), false);
+            scheduleWork(now + handshakeMicros + 500, shot, createResponse(now, shot, 500, 0, ResponseMode.COMPLETE), false);
         } else if (busyPlaces < availablePlaces(now)) {
-            startService(now + handshake, shot);
+            startService(now + handshakeMicros, shot);
         } else if (queue.size() < destination.configuration.queue()) {
             queue.add(shot);
         } else {
-            reject(now + handshake, shot, 503, 0);
+            reject(now + handshakeMicros, shot, 503, 0);
         }
     }
 
-    /** The connection of a call has ended: what still waits is dropped, what is at work goes on. */
+    /** The connection of a call has ended: a call that still waits is dropped, one that is being executed continues. */
     public void callerDisconnected(Shot shot) {
         shot.callerDisconnected = true;
         queue.remove(shot);
         callsReadWhileHung.remove(shot);
     }
 
-    /** When something is due next; Long.MAX_VALUE where nothing is. */
+    /** The time at which work is due next; Long.MAX_VALUE if there is none. */
     public long nextDueMicros() {
         return scheduledWork.isEmpty() || hasFailure(Kind.SILENT) ? Long.MAX_VALUE : scheduledWork.peek().dueMicros;
     }
 
-    /** Carries out what is due by now. */
+    /** Completes the work that is due by the given time and starts queued calls on the places that become free. */
     public void advance(long now) {
         while (nextDueMicros() <= now) {
-            ScheduledWork done = scheduledWork.poll();
-            if (done.occupiesPlace) {
+            ScheduledWork work = scheduledWork.poll();
+            if (work.occupiesPlace) {
                 busyPlaces--;
                 while (busyPlaces < availablePlaces(now) && !queue.isEmpty()) {
-                    startService(done.dueMicros, queue.poll());
+                    startService(work.dueMicros, queue.poll());
                 }
             }
-            if (!done.shot.callerDisconnected) {
-                listener.onResponse(this, done.dueMicros, done.response);
+            if (!work.shot.callerDisconnected) {
+                listener.onResponse(this, work.dueMicros, work.response);
             }
         }
     }
 
-    private void reject(long at, Shot shot, int status, long wait) {
-        scheduleWork(at + 200, shot, createResponse(at, shot, status, wait, ResponseMode.COMPLETE), false);
+    private void reject(long atMicros, Shot shot, int status, long retryAfterMicros) {
+        scheduleWork(atMicros + 200, shot,
+                createResponse(atMicros, shot, status, retryAfterMicros, ResponseMode.COMPLETE), false);
     }
 
-    private void startService(long at, Shot shot) {
+    private void startService(long startMicros, Shot shot) {
         busyPlaces++;
-        boolean repeat = destination.checkAndRememberDuplicate(hall, shot.idempotencyKey, at);
-        listener.onExecuted(this, at, shot, repeat);
-        double slow = 1;
+        boolean duplicate = destination.checkAndRememberDuplicate(hall, shot.idempotencyKey, startMicros);
+        listener.onExecuted(this, startMicros, shot, duplicate);
+        double slowdown = 1;
         for (Failure failure : activeFailures.getOrDefault(Kind.SLOW, List.of())) {
-            slow *= failure.amount();
+            slowdown *= failure.amount();
         }
-        long takes = Math.max(1, Math.round(serviceTime.sampleMicros() * slow));
-        ResponseMode manner = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
-                : drawFailure(Kind.SPOILT) ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
-                : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
-        scheduleWork(at + takes, shot, createResponse(at, shot, 200, 0, manner), true);
+        long serviceMicros = Math.max(1, Math.round(serviceTime.sampleMicros() * slowdown));
+        ResponseMode mode = drawFailure(Kind.ANSWER_LOST) ? ResponseMode.NO_RESPONSE
+                : drawFailure(Kind.RESET_AFTER) ? ResponseMode.RESET
+                : drawFailure(Kind.SPOILT)
+                        ? random.nextBoolean() ? ResponseMode.MALFORMED_STATUS_LINE : ResponseMode.MALFORMED_HEADERS
+                : drawFailure(Kind.ENDLESS) ? ResponseMode.ENDLESS_BODY
+                : drawFailure(Kind.DOUBLED) ? ResponseMode.DUPLICATED : ResponseMode.COMPLETE;
+        scheduleWork(startMicros + serviceMicros, shot, createResponse(startMicros, shot, 200, 0, mode), true);
     }
 
-    private void scheduleWork(long due, Shot shot, Response answer, boolean place) {
-        scheduledWork.add(new ScheduledWork(due, ++lastSequence, shot, answer, place));
+    private void scheduleWork(long dueMicros, Shot shot, Response response, boolean occupiesPlace) {
+        scheduledWork.add(new ScheduledWork(dueMicros, ++lastSequence, shot, response, occupiesPlace));
     }
 
-    private Response createResponse(long now, Shot shot, int status, long wait, ResponseMode manner) {
-        double[] report = destination.configuration.reports() ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
-        return new Response(shot, status, wait, manner, report);
+    private Response createResponse(long now, Shot shot, int status, long retryAfterMicros, ResponseMode mode) {
+        double[] loadReport = destination.configuration.reports()
+                ? new double[] {rateLimiter.remainingShare(now), rateLimiter.callsPerSecond()} : NO_REPORT;
+        return new Response(shot, status, retryAfterMicros, mode, loadReport);
     }
 
-    /** The share of its places that it has now: less for a while after an outage. */
+    /** The share of the places that is available now. It is reduced for a while after an outage (slow start). */
     public double availableShare(long now) {
         if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warm = Math.min(1, (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
-        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warm;
+        double warmUpProgress = Math.min(1,
+                (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
+        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warmUpProgress;
     }
 
     private int availablePlaces(long now) {
         return Math.max(1, (int) Math.floor(destination.configuration.places() * availableShare(now)));
     }
 
-    /** Calls a second that it can carry out now. */
+    /** The calls per second that the receiver can execute now, from its available places and its rate limit. */
     public double capacityPerSecond(long now) {
-        double most = destination.configuration.places() / Math.max(1e-6, destination.configuration.service().mean().seconds());
-        double limit = rateLimiter.callsPerSecond();
-        return (limit > 0 ? Math.min(limit, most) : most) * availableShare(now);
+        double maxByPlaces = destination.configuration.places()
+                / Math.max(1e-6, destination.configuration.service().mean().seconds());
+        double maxByRateLimit = rateLimiter.callsPerSecond();
+        return (maxByRateLimit > 0 ? Math.min(maxByRateLimit, maxByPlaces) : maxByPlaces) * availableShare(now);
     }
 
-    /** Rule 4: every call counts, refused ones too; kept above the multiple for the span it falls. True if it has. */
+    /**
+     * Rule 4: a recovering receiver collapses if the calls to it, rejected ones included, keep exceeding fallMultiple times
+     * its current capacity for fallWithin. The excess is counted as in a leaky bucket. Returns whether it has collapsed.
+     */
     private boolean updateExcessCalls(long now) {
         if (collapsed || recoveredAtMicros == Long.MIN_VALUE || availableShare(now) >= 1) {
             return collapsed;
         }
-        double bound = destination.configuration.cold().fallMultiple() * capacityPerSecond(now);
-        excessCalls = Math.max(0, excessCalls - (now - excessUpdatedAtMicros) / 1e6 * bound) + 1;
+        double toleratedPerSecond = destination.configuration.cold().fallMultiple() * capacityPerSecond(now);
+        excessCalls = Math.max(0, excessCalls - (now - excessUpdatedAtMicros) / 1e6 * toleratedPerSecond) + 1;
         excessUpdatedAtMicros = now;
-        if (excessCalls > bound * destination.configuration.cold().fallWithin().seconds() + 2) {
+        if (excessCalls > toleratedPerSecond * destination.configuration.cold().fallWithin().seconds() + 2) {
             collapsed = true;
             dropAllCalls();
             listener.onCollapse(this, now);
@@ -300,8 +314,8 @@
     }
 
     private boolean drawFailure(Kind kind) {
-        for (Iterator<Failure> each = activeFailures.getOrDefault(kind, List.of()).iterator(); each.hasNext();) {
-            if (random.nextDouble() < each.next().amount()) {
+        for (Iterator<Failure> failures = activeFailures.getOrDefault(kind, List.of()).iterator(); failures.hasNext();) {
+            if (random.nextDouble() < failures.next().amount()) {
                 return true;
             }
         }
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -28,24 +28,24 @@
 import terndyke.lab.wire.TaskScheduler;
 
 /**
- * A plain node that keeps the rules, or breaks just one of them on purpose: the referee has to be able to fail. It keeps
- * no journal, copies nothing and learns nothing; it is no yardstick for how well a node decides.
+ * A simple replacement for a node that keeps the rules, or breaks exactly one of them on purpose, to check that the referee
+ * detects it. It keeps no journal, sends no copies and learns nothing, so it is no reference for a node's decisions.
  */
 public final class StandInNode implements NodeUnderTest {
-    /** What it does wrong. */
+    /** The rule that the stand-in breaks, and how. */
     public enum Fault {
         NONE,
-        /** Rule 1: every tenth record without a key is forgotten once its client has its 202. */
+        /** Rule 1: every tenth accepted record is dropped after the 202 to its client, unless it has a key. */
         LOSES,
-        /** Rule 2: what ended in an error is sent again, whatever its effect. */
+        /** Rule 2: a shot that ended in an error is repeated, even for unrepeatable records. */
         REPEATS,
-        /** Rule 3: states in the list are passed over. */
+        /** Rule 3: endpoint states in the list are ignored. */
         IGNORES_DRAINS,
-        /** Rule 4: it goes back to a receiver that failed with all that it holds. */
+        /** Rule 4: a recovering receiver gets all pending calls at once. */
         PUSHES,
-        /** Rule 5: records of a key go as they come. */
+        /** Rule 5: records of one key are sent without keeping their order. */
         DISORDERS,
-        /** Rule 6: told waits are passed over. */
+        /** Rule 6: Retry-After of receivers is ignored. */
         IGNORES_WAITS
     }
 
@@ -74,6 +74,7 @@
     private int callsOut;
     private boolean stopping;
 
+    /** An endpoint of the list, and what is known of its availability. */
     private static final class Endpoint {
         String uid;
         InetSocketAddress address;
@@ -84,6 +85,7 @@
         long failedAtMicros = Long.MIN_VALUE / 2;
     }
 
+    /** An accepted record whose outcome is not known yet. */
     private static final class PendingRecord {
         String id;
         String key;
@@ -97,40 +99,42 @@
         int nextEndpointIndex;
     }
 
-    /** @param file a node's configuration in the platform's form */
-    public StandInNode(InetSocketAddress listen, SocketReactor net, String file, Fault fault) throws IOException {
-        this.listenAddress = listen;
-        this.reactor = net;
+    /** @param configurationText the text of a node's configuration file, in the platform's JSON format */
+    public StandInNode(InetSocketAddress listenAddress, SocketReactor reactor, String configurationText, Fault fault)
+                throws IOException {
+        this.listenAddress = listenAddress;
+        this.reactor = reactor;
         this.fault = fault;
-        JsonNode told = JSON.readTree(file);
-        agentAddress = parseAddress(told.path("discovery").asText());
-        JsonNode classes = told.path("settings").path("classes");
-        inOrder = new boolean[classes.size()];
-        semantics = new String[classes.size()];
+        JsonNode configuration = JSON.readTree(configurationText);
+        agentAddress = parseAddress(configuration.path("discovery").asText());
+        JsonNode grades = configuration.path("settings").path("classes");
+        inOrder = new boolean[grades.size()];
+        semantics = new String[grades.size()];
         for (int i = 0; i < inOrder.length; i++) {
-            gradeNames.add(classes.get(i).path("name").asText());
-            inOrder[i] = classes.get(i).path("serialByKey").asBoolean();
-            semantics[i] = classes.get(i).path("semantics").asText();
+            gradeNames.add(grades.get(i).path("name").asText());
+            inOrder[i] = grades.get(i).path("serialByKey").asBoolean();
+            semantics[i] = grades.get(i).path("semantics").asText();
         }
-        slots = told.path("settings").path("familyInfo").path("callsOut").asInt();
-        applyList(told.path("known"));
+        slots = configuration.path("settings").path("familyInfo").path("callsOut").asInt();
+        applyList(configuration.path("known"));
     }
 
+    /** Parses an address of the form host:port. */
     private static InetSocketAddress parseAddress(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private synchronized void applyList(JsonNode told) throws IOException {
-        revision = told.path("rev").asLong();
-        for (JsonNode one : told.path("targets")) {
-            Endpoint endpoint = endpoints.computeIfAbsent(one.path("uid").asText(), uid -> new Endpoint());
-            endpoint.uid = one.path("uid").asText();
-            endpoint.address = parseAddress(one.path("endpoint").asText());
-            endpoint.hall = one.path("az").asText();
-            endpoint.destination = one.path("pod_group").asInt();
-            endpoint.active = one.path("state").asText().equals("active") || fault == Fault.IGNORES_DRAINS;
+    private synchronized void applyList(JsonNode list) throws IOException {
+        revision = list.path("rev").asLong();
+        for (JsonNode target : list.path("targets")) {
+            Endpoint endpoint = endpoints.computeIfAbsent(target.path("uid").asText(), uid -> new Endpoint());
+            endpoint.uid = target.path("uid").asText();
+            endpoint.address = parseAddress(target.path("endpoint").asText());
+            endpoint.hall = target.path("az").asText();
+            endpoint.destination = target.path("pod_group").asInt();
+            endpoint.active = target.path("state").asText().equals("active") || fault == Fault.IGNORES_DRAINS;
         }
     }
 
@@ -146,7 +150,8 @@
     }
 
     private void startWatch() {
-        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, WatchConnection::new, () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, this::startWatch));
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, WatchConnection::new,
+                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, this::startWatch));
     }
 
     @Override
@@ -190,44 +195,45 @@
         endLatch.countDown();
     }
 
-    private void acceptRecord(PendingRecord owed) {
+    private void acceptRecord(PendingRecord record) {
         acceptedCount++;
-        if (fault == Fault.LOSES && acceptedCount % 10 == 0 && owed.key == null) {
+        if (fault == Fault.LOSES && acceptedCount % 10 == 0 && record.key == null) {
             return;
         }
-        if (inOrder[owed.grade] && owed.key != null && fault != Fault.DISORDERS) {
-            ArrayDeque<PendingRecord> waiting = waitingByKey.get(owed.key);
+        if (inOrder[record.grade] && record.key != null && fault != Fault.DISORDERS) {
+            ArrayDeque<PendingRecord> waiting = waitingByKey.get(record.key);
             if (waiting != null) {
-                waiting.add(owed);
+                waiting.add(record);
                 return;
             }
-            waitingByKey.put(owed.key, new ArrayDeque<>());
+            waitingByKey.put(record.key, new ArrayDeque<>());
         }
-        sendOrWait(owed);
+        sendOrWait(record);
     }
 
-    /** Sends a record if it may be sent now, or says when to come again. */
-    private synchronized void sendOrWait(PendingRecord owed) {
+    /** Sends a record if it may be sent now; otherwise tries again later, or gives it up when its time is over. */
+    private synchronized void sendOrWait(PendingRecord record) {
         long now = TaskScheduler.nowMicros();
         if (stopping) {
             return;
         }
-        if (now > owed.deadlineMicros - 60_000 || owed.mayHaveExecuted && semantics[owed.grade].equals("fragile") && fault != Fault.REPEATS) {
-            sendNotice(owed, "dead");
+        if (now > record.deadlineMicros - 60_000
+                || record.mayHaveExecuted && semantics[record.grade].equals("fragile") && fault != Fault.REPEATS) {
+            sendNotice(record, "dead");
             return;
         }
-        Endpoint endpoint = chooseEndpoint(owed, now);
+        Endpoint endpoint = chooseEndpoint(record, now);
         if (endpoint == null || callsOut >= slots) {
-            scheduler.schedule(now + 20_000, () -> sendOrWait(owed));
+            scheduler.schedule(now + 20_000, () -> sendOrWait(record));
             return;
         }
         callsOut++;
         limitRateWhileWarmingUp(endpoint, now);
-        reactor.connect(endpoint.address, 500_000, session -> new ShotConnection(session, owed, endpoint), () -> {
+        reactor.connect(endpoint.address, 500_000, session -> new ShotConnection(session, record, endpoint), () -> {
             synchronized (this) {
                 callsOut--;
                 backOff(endpoint, TaskScheduler.nowMicros());
-                scheduler.schedule(TaskScheduler.nowMicros() + 50_000, () -> sendOrWait(owed));
+                scheduler.schedule(TaskScheduler.nowMicros() + 50_000, () -> sendOrWait(record));
             }
         });
     }
@@ -237,41 +243,42 @@
         endpoint.failedAtMicros = now;
     }
 
-    /** After a failure a receiver gets a call now and then until it has warmed up. */
+    /** After a failure, an endpoint gets only one call per backoff interval until it has warmed up. */
     private void limitRateWhileWarmingUp(Endpoint endpoint, long now) {
         if (now < endpoint.failedAtMicros + WARM_UP_MICROS && fault != Fault.PUSHES) {
             endpoint.backoffUntilMicros = now + BACKOFF_MICROS;
         }
     }
 
-    private Endpoint chooseEndpoint(PendingRecord owed, long now) {
-        if (waitUntilByDestination.getOrDefault(owed.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
+    private Endpoint chooseEndpoint(PendingRecord record, long now) {
+        if (waitUntilByDestination.getOrDefault(record.destination, 0L) > now && fault != Fault.IGNORES_WAITS) {
             return null;
         }
-        List<Endpoint> open = endpoints.values().stream().filter(endpoint -> endpoint.destination == owed.destination
+        List<Endpoint> available = endpoints.values().stream().filter(endpoint -> endpoint.destination == record.destination
                 && endpoint.active && endpoint.backoffUntilMicros <= now
-                && (!owed.mayHaveExecuted || !semantics[owed.grade].equals("dedup") || endpoint.hall.equals(owed.hall))).toList();
-        return open.isEmpty() ? null : open.get(Math.floorMod(owed.nextEndpointIndex++, open.size()));
+                && (!record.mayHaveExecuted || !semantics[record.grade].equals("dedup")
+                        || endpoint.hall.equals(record.hall))).toList();
+        return available.isEmpty() ? null : available.get(Math.floorMod(record.nextEndpointIndex++, available.size()));
     }
 
-    private void sendNotice(PendingRecord owed, String result) {
-        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, session -> new NoticeConnection(session, owed, result),
-                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(owed, result)));
+    private void sendNotice(PendingRecord record, String result) {
+        reactor.connect(agentAddress, CALL_TIMEOUT_MICROS, session -> new NoticeConnection(session, record, result),
+                () -> scheduler.schedule(TaskScheduler.nowMicros() + BACKOFF_MICROS, () -> sendNotice(record, result)));
     }
 
-    private synchronized void releaseNextOfKey(PendingRecord owed, boolean quiet) {
-        if (owed.key == null || !inOrder[owed.grade] || fault == Fault.DISORDERS) {
+    private synchronized void releaseNextOfKey(PendingRecord record, boolean delayed) {
+        if (record.key == null || !inOrder[record.grade] || fault == Fault.DISORDERS) {
             return;
         }
-        PendingRecord next = waitingByKey.get(owed.key).poll();
+        PendingRecord next = waitingByKey.get(record.key).poll();
         if (next == null) {
-            waitingByKey.remove(owed.key);
+            waitingByKey.remove(record.key);
         } else {
-            scheduler.schedule(TaskScheduler.nowMicros() + (quiet ? 200_000 : 0), () -> sendOrWait(next));
+            scheduler.schedule(TaskScheduler.nowMicros() + (delayed ? 200_000 : 0), () -> sendOrWait(next));
         }
     }
 
-    /** A client's connection. */
+    /** A connection from a client. */
     private final class ClientConnection extends RawHttpConnection {
         ClientConnection(IOSession session) {
             super(session);
@@ -285,39 +292,40 @@
                 write(RawHttpMessage.encode("HTTP/1.1 400 -", "", EMPTY_BODY));
                 return;
             }
-            PendingRecord owed = new PendingRecord();
-            owed.id = message.header("request-id");
+            PendingRecord record = new PendingRecord();
+            record.id = message.header("request-id");
             String cookie = message.header("cookie");
-            owed.key = cookie == null ? null : cookie.substring(cookie.indexOf('=') + 1);
-            owed.idempotencyKey = message.header("idempotency-key");
-            owed.grade = grade;
-            owed.destination = Integer.parseInt(destination.substring(destination.indexOf('=') + 1));
-            owed.deadlineMicros = TaskScheduler.nowMicros() + Long.parseLong(message.header("request-timeout-ms")) * 1000;
-            owed.body = message.body();
+            record.key = cookie == null ? null : cookie.substring(cookie.indexOf('=') + 1);
+            record.idempotencyKey = message.header("idempotency-key");
+            record.grade = grade;
+            record.destination = Integer.parseInt(destination.substring(destination.indexOf('=') + 1));
+            record.deadlineMicros = TaskScheduler.nowMicros() + Long.parseLong(message.header("request-timeout-ms")) * 1000;
+            record.body = message.body();
             write(RawHttpMessage.encode("HTTP/1.1 202 -", "", EMPTY_BODY));
             synchronized (StandInNode.this) {
-                acceptRecord(owed);
+                acceptRecord(record);
             }
         }
     }
 
-    /** One call on a connection of its own. */
+    /** A call to an endpoint, on its own connection. */
     private final class ShotConnection extends RawHttpConnection {
         private final PendingRecord pendingRecord;
         private final Endpoint endpoint;
         private boolean answered;
 
-        ShotConnection(IOSession session, PendingRecord owed, Endpoint endpoint) {
+        ShotConnection(IOSession session, PendingRecord pendingRecord, Endpoint endpoint) {
             super(session);
-            this.pendingRecord = owed;
+            this.pendingRecord = pendingRecord;
             this.endpoint = endpoint;
         }
 
         @Override
         protected void onOpen() {
             synchronized (StandInNode.this) {
-                boolean waits = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros() && fault != Fault.IGNORES_WAITS;
-                if (waits || !endpoint.active) { // told while the connection came up
+                boolean mustWait = waitUntilByDestination.getOrDefault(pendingRecord.destination, 0L) > TaskScheduler.nowMicros()
+                        && fault != Fault.IGNORES_WAITS;
+                if (mustWait || !endpoint.active) { // changed while the connection was being established
                     answered = true;
                     callsOut--;
                     scheduler.schedule(TaskScheduler.nowMicros() + 20_000, () -> sendOrWait(pendingRecord));
@@ -325,8 +333,10 @@
                     return;
                 }
             }
-            String mark = pendingRecord.idempotencyKey == null ? "" : "Idempotency-Key: " + pendingRecord.idempotencyKey + "\r\n";
-            write(RawHttpMessage.encode("POST /events HTTP/1.1", "Host: x\r\nRequest-Id: " + pendingRecord.id + "\r\n" + mark
+            String idempotencyHeader = pendingRecord.idempotencyKey == null
+                    ? "" : "Idempotency-Key: " + pendingRecord.idempotencyKey + "\r\n";
+            write(RawHttpMessage.encode("POST /events HTTP/1.1",
+                    "Host: x\r\nRequest-Id: " + pendingRecord.id + "\r\n" + idempotencyHeader
                     + "Request-Timeout-Ms: 1500\r\n", pendingRecord.body));
             scheduler.schedule(TaskScheduler.nowMicros() + CALL_TIMEOUT_MICROS, this::reset);
         }
@@ -343,10 +353,10 @@
                 switch (message.status()) {
                     case 200 -> releaseNextOfKey(pendingRecord, false);
                     case 429, 503 -> {
-                        String told = message.header("retry-after");
-                        if (told != null) {
-                            waitUntilByDestination.merge(pendingRecord.destination, now + Math.round(Double.parseDouble(told) * 1e6) + 20_000,
-                                    Math::max);
+                        String retryAfter = message.header("retry-after");
+                        if (retryAfter != null) {
+                            waitUntilByDestination.merge(pendingRecord.destination,
+                                    now + Math.round(Double.parseDouble(retryAfter) * 1e6) + 20_000, Math::max);
                         } else {
                             backOff(endpoint, now);
                         }
@@ -377,15 +387,15 @@
         }
     }
 
-    /** A notice on a connection of its own. */
+    /** A notice to the platform, on its own connection. */
     private final class NoticeConnection extends RawHttpConnection {
         private final PendingRecord pendingRecord;
         private final String result;
         private boolean acknowledged;
 
-        NoticeConnection(IOSession session, PendingRecord owed, String result) {
+        NoticeConnection(IOSession session, PendingRecord pendingRecord, String result) {
             super(session);
-            this.pendingRecord = owed;
+            this.pendingRecord = pendingRecord;
             this.result = result;
         }
 
@@ -412,7 +422,7 @@
         }
     }
 
-    /** The watch on discovery. */
+    /** The connection that watches the list at discovery. */
     private final class WatchConnection extends RawHttpConnection {
         WatchConnection(IOSession session) {
             super(session);
--- a/src/main/java/terndyke/lab/wire/RawHttpConnection.java
+++ b/src/main/java/terndyke/lab/wire/RawHttpConnection.java
@@ -20,9 +20,9 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection of the laboratory, on HttpCore's reactor but below its message streams: a laboratory has to write what
- * no library would, and to know when a first and a last byte came or left. Reading goes on in the I/O thread; writing is
- * safe from any.
+ * One HTTP connection of the laboratory, on HttpCore's reactor but below its message streams: the laboratory has to write
+ * malformed messages, which no library would send, and has to know when the first and the last byte of a message was read
+ * or written. Reading happens in the I/O thread; writing is safe from any thread.
  */
 public abstract class RawHttpConnection implements IOEventHandler {
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -41,24 +41,24 @@
         this.session = session;
     }
 
-    /** The connection is there. */
+    /** The connection is established. */
     protected void onOpen() { }
 
-    /** The first byte of a message has come. */
+    /** The first byte of a message was read. */
     protected void onMessageStart() { }
 
-    /** A message has come whole. */
+    /** A message was read completely. */
     protected abstract void onMessage(RawHttpMessage message);
 
-    /** What came cannot be read. */
-    protected void onMalformedInput(String why) {
+    /** The input cannot be parsed as HTTP. By default the connection is reset. */
+    protected void onMalformedInput(String reason) {
         reset();
     }
 
-    /** The connection is over, whoever ended it; told once. */
+    /** The connection has ended, by either side. Called once. */
     protected void onClosed() { }
 
-    /** Answers what cannot be read, and ends the connection in good order. */
+    /** Answers malformed input with 400 and closes the connection gracefully. */
     protected final void sendBadRequestAndClose() {
         write(RawHttpMessage.encode("HTTP/1.1 400 -", "Connection: close\r\n", new byte[0]));
         close();
@@ -68,16 +68,16 @@
         return session.isOpen();
     }
 
-    /** Writes all of this, now or as the other side reads. */
+    /** Writes all bytes: what the socket accepts now, the rest as the peer reads. */
     public void write(byte[] bytes) {
         session.getLock().lock();
         try {
-            ByteBuffer rest = ByteBuffer.wrap(bytes);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
             if (unsentBuffers.isEmpty()) {
-                session.write(rest);
+                session.write(remaining);
             }
-            if (rest.hasRemaining()) {
-                unsentBuffers.add(rest);
+            if (remaining.hasRemaining()) {
+                unsentBuffers.add(remaining);
                 session.setEvent(SelectionKey.OP_WRITE);
             }
         } catch (IOException | RuntimeException e) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Bytes that the other side has not taken yet. */
+    /** The number of bytes that the socket has not accepted yet. */
     public int unsentBytes() {
         session.getLock().lock();
         try {
@@ -97,41 +97,41 @@
         }
     }
 
-    /** Ends the connection in good order. */
+    /** Closes the connection gracefully. */
     public void close() {
         session.close(CloseMode.GRACEFUL);
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection at once, with a reset. */
     public void reset() {
         session.close(CloseMode.IMMEDIATE);
     }
 
-    /** Reads nothing any more; what comes stays in the kernel. */
+    /** Stops reading for good; what the peer sends stays in the kernel's buffers. */
     public void stopReading() {
         readingStopped = true;
         session.clearEvent(SelectionKey.OP_READ);
     }
 
     @Override
-    public void connected(IOSession one) {
-        one.setEventMask(SelectionKey.OP_READ);
+    public void connected(IOSession ioSession) {
+        ioSession.setEventMask(SelectionKey.OP_READ);
         onOpen();
     }
 
     @Override
-    public void inputReady(IOSession one, ByteBuffer first) throws IOException {
+    public void inputReady(IOSession ioSession, ByteBuffer unused) throws IOException {
         if (readingStopped) {
-            one.clearEvent(SelectionKey.OP_READ);
+            ioSession.clearEvent(SelectionKey.OP_READ);
             return;
         }
         while (true) {
             if (writePosition == buffer.length) {
                 ensureBufferSpace();
             }
-            int read = one.read(ByteBuffer.wrap(buffer, writePosition, buffer.length - writePosition));
+            int read = ioSession.read(ByteBuffer.wrap(buffer, writePosition, buffer.length - writePosition));
             if (read < 0) {
-                one.close(CloseMode.GRACEFUL);
+                ioSession.close(CloseMode.GRACEFUL);
                 return;
             }
             if (read == 0) {
@@ -162,52 +162,52 @@
         }
     }
 
-    /** Takes one whole message off the buffer; false where it is not whole yet. */
+    /** Removes one complete message from the buffer; returns false if there is none yet. */
     private boolean parseMessage() {
-        int head = findHeadEnd();
-        if (head < 0) {
+        int headEnd = findHeadEnd();
+        if (headEnd < 0) {
             if (writePosition - readPosition > MAX_HEAD_BYTES) {
-                onMalformedInput("a head of more than " + MAX_HEAD_BYTES + " bytes");
+                onMalformedInput("message head exceeds " + MAX_HEAD_BYTES + " bytes");
                 readPosition = writePosition;
             }
             return false;
         }
         try {
-            Map<String, String> fields = new HashMap<>();
-            String[] first = null;
-            int at = readPosition;
-            while (at < head) {
-                int end = at;
-                while (buffer[end] != '\n') {
-                    end++;
+            Map<String, String> headers = new HashMap<>();
+            String[] startLine = null;
+            int lineStart = readPosition;
+            while (lineStart < headEnd) {
+                int lineEnd = lineStart;
+                while (buffer[lineEnd] != '\n') {
+                    lineEnd++;
                 }
-                int stop = end > at && buffer[end - 1] == '\r' ? end - 1 : end;
-                if (stop > at && first == null) {
-                    first = new String(buffer, at, stop - at, StandardCharsets.ISO_8859_1).split(" ", 3);
-                    if (first.length < 2 || !first[0].startsWith("HTTP/1.")
-                            && (first.length < 3 || !first[2].startsWith("HTTP/1."))) {
-                        throw new ParseException("no first line");
+                int contentEnd = lineEnd > lineStart && buffer[lineEnd - 1] == '\r' ? lineEnd - 1 : lineEnd;
+                if (contentEnd > lineStart && startLine == null) {
+                    startLine = new String(buffer, lineStart, contentEnd - lineStart, StandardCharsets.ISO_8859_1).split(" ", 3);
+                    if (startLine.length < 2 || !startLine[0].startsWith("HTTP/1.")
+                            && (startLine.length < 3 || !startLine[2].startsWith("HTTP/1."))) {
+                        throw new ParseException("invalid start line");
                     }
-                } else if (stop > at) {
-                    CharArrayBuffer line = new CharArrayBuffer(stop - at);
-                    line.append(buffer, at, stop - at);
-                    Header field = BasicLineParser.INSTANCE.parseHeader(line);
-                    fields.put(field.getName().toLowerCase(Locale.ROOT), field.getValue());
+                } else if (contentEnd > lineStart) {
+                    CharArrayBuffer line = new CharArrayBuffer(contentEnd - lineStart);
+                    line.append(buffer, lineStart, contentEnd - lineStart);
+                    Header header = BasicLineParser.INSTANCE.parseHeader(line);
+                    headers.put(header.getName().toLowerCase(Locale.ROOT), header.getValue());
                 }
-                at = end + 1;
+                lineStart = lineEnd + 1;
             }
-            int bodyEnd = first == null ? head : head + parseBodyLength(first, fields);
+            int bodyEnd = startLine == null ? headEnd : headEnd + parseBodyLength(startLine, headers);
             if (writePosition < bodyEnd) {
                 return false;
             }
-            byte[] body = Arrays.copyOfRange(buffer, head, bodyEnd);
+            byte[] body = Arrays.copyOfRange(buffer, headEnd, bodyEnd);
             readPosition = bodyEnd;
             if (readPosition == writePosition) {
                 readPosition = 0;
                 writePosition = 0;
             }
-            if (first != null) {
-                onMessage(new RawHttpMessage(first, fields, body));
+            if (startLine != null) {
+                onMessage(new RawHttpMessage(startLine, headers, body));
             }
             return true;
         } catch (ParseException | NumberFormatException e) {
@@ -218,14 +218,14 @@
         }
     }
 
-    private static int parseBodyLength(String[] first, Map<String, String> fields) throws ParseException {
-        String length = fields.get("content-length");
-        if (fields.containsKey("transfer-encoding")) {
-            throw new ParseException("a body in chunks");
+    private static int parseBodyLength(String[] startLine, Map<String, String> headers) throws ParseException {
+        String contentLength = headers.get("content-length");
+        if (headers.containsKey("transfer-encoding")) {
+            throw new ParseException("chunked bodies are not supported");
         }
-        int bytes = length == null || first[1].equals("204") ? 0 : Integer.parseInt(length);
+        int bytes = contentLength == null || startLine[1].equals("204") ? 0 : Integer.parseInt(contentLength);
         if (bytes < 0 || bytes > MAX_BODY_BYTES) {
-            throw new ParseException("a body of " + bytes + " bytes");
+            throw new ParseException("Content-Length of " + bytes + " bytes is out of range");
         }
         return bytes;
     }
@@ -241,32 +241,32 @@
     }
 
     @Override
-    public void outputReady(IOSession one) throws IOException {
-        one.getLock().lock();
+    public void outputReady(IOSession ioSession) throws IOException {
+        ioSession.getLock().lock();
         try {
             while (!unsentBuffers.isEmpty()) {
-                one.write(unsentBuffers.peek());
+                ioSession.write(unsentBuffers.peek());
                 if (unsentBuffers.peek().hasRemaining()) {
                     return;
                 }
                 unsentBuffers.poll();
             }
-            one.clearEvent(SelectionKey.OP_WRITE);
+            ioSession.clearEvent(SelectionKey.OP_WRITE);
         } finally {
-            one.getLock().unlock();
+            ioSession.getLock().unlock();
         }
     }
 
     @Override
-    public void timeout(IOSession one, Timeout timeout) { }
+    public void timeout(IOSession ioSession, Timeout timeout) { }
 
     @Override
-    public void exception(IOSession one, Exception cause) {
-        one.close(CloseMode.IMMEDIATE);
+    public void exception(IOSession ioSession, Exception cause) {
+        ioSession.close(CloseMode.IMMEDIATE);
     }
 
     @Override
-    public void disconnected(IOSession one) {
+    public void disconnected(IOSession ioSession) {
         if (!closed) {
             closed = true;
             onClosed();
--- a/src/main/java/terndyke/lab/wire/SocketReactor.java
+++ b/src/main/java/terndyke/lab/wire/SocketReactor.java
@@ -24,39 +24,39 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** The laboratory's sockets on HttpCore's reactor: listeners and connections, each with a link of its own. */
+/** The laboratory's sockets on HttpCore's reactor: listeners and connections, each with its own {@link RawHttpConnection}. */
 public final class SocketReactor implements AutoCloseable {
     private static final long LISTEN_TIMEOUT_SECONDS = 10;
 
     private final DefaultListeningIOReactor reactor;
 
-    /** Makes the link of a new connection. */
+    /** Creates the handler of a new connection. */
     public interface ConnectionFactory extends Function<IOSession, RawHttpConnection> { }
 
     public SocketReactor(String name, int threads) {
-        AtomicInteger number = new AtomicInteger();
-        IOReactorConfig io = IOReactorConfig.custom().setIoThreadCount(threads).setTcpNoDelay(true).setSoReuseAddress(true)
+        AtomicInteger threadNumber = new AtomicInteger();
+        IOReactorConfig config = IOReactorConfig.custom().setIoThreadCount(threads).setTcpNoDelay(true).setSoReuseAddress(true)
                 .setSelectInterval(TimeValue.ofMilliseconds(50)).setBacklogSize(512).build();
-        reactor = new DefaultListeningIOReactor(SocketReactor::createHandler, io,
-                work -> newDaemonThread(work, name + "-io-" + number.incrementAndGet()),
-                work -> newDaemonThread(work, name + "-accept"), null, cause -> { }, null,
+        reactor = new DefaultListeningIOReactor(SocketReactor::createHandler, config,
+                task -> newDaemonThread(task, name + "-io-" + threadNumber.incrementAndGet()),
+                task -> newDaemonThread(task, name + "-accept"), null, cause -> { }, null,
                 ShutdownCommand.GRACEFUL_IMMEDIATE_CALLBACK);
         reactor.start();
     }
 
-    private static IOEventHandler createHandler(ProtocolIOSession session, Object maker) {
-        return ((ConnectionFactory) maker).apply(session);
+    private static IOEventHandler createHandler(ProtocolIOSession session, Object factory) {
+        return ((ConnectionFactory) factory).apply(session);
     }
 
-    private static Thread newDaemonThread(Runnable work, String name) {
-        Thread thread = new Thread(work, name);
+    private static Thread newDaemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
     /** Listens on an address until the listener is closed. */
-    public ListenerEndpoint listen(InetSocketAddress address, ConnectionFactory maker) throws IOException {
-        Future<ListenerEndpoint> listening = reactor.listen(address, maker, null);
+    public ListenerEndpoint listen(InetSocketAddress address, ConnectionFactory factory) throws IOException {
+        Future<ListenerEndpoint> listening = reactor.listen(address, factory, null);
         try {
             return listening.get(LISTEN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -67,11 +67,11 @@
         }
     }
 
-    /** Connects; what the link becomes is told by its own methods, and whenFailed runs where it never comes up. */
-    public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory maker, Runnable whenFailed) {
+    /** Connects. The new connection reports its progress by its own callbacks; whenFailed runs if it is not established. */
+    public void connect(InetSocketAddress address, long timeoutMicros, ConnectionFactory factory, Runnable whenFailed) {
         try {
             reactor.connect(new Host(address.getHostString(), address.getPort()), address, null,
-                    Timeout.ofMicroseconds(timeoutMicros), maker,
+                    Timeout.ofMicroseconds(timeoutMicros), factory,
                     new FutureCallback<IOSession>() {
                         @Override
                         public void completed(IOSession session) { }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A port of this loopback address that nobody listens on now. */
+    /** Returns this loopback address with a port that is free now. */
     public static InetSocketAddress findFreeAddress(String host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             return new InetSocketAddress(socket.getInetAddress(), socket.getLocalPort());
--- a/src/main/java/terndyke/lab/wire/TaskScheduler.java
+++ b/src/main/java/terndyke/lab/wire/TaskScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.locks.LockSupport;
 
-/** One thread that runs what is due; times are microseconds of System.nanoTime. */
+/** Runs tasks at given times, in one thread. Times are microseconds of System.nanoTime. */
 public final class TaskScheduler implements AutoCloseable {
     private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final Thread thread;
@@ -11,10 +11,12 @@
     private volatile RuntimeException firstFailure;
     private long lastSequence;
 
+    /** A task and its due time; tasks that are due at the same time run in the order in which they were scheduled. */
     private record ScheduledTask(long dueMicros, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
-            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros) : Long.compare(sequence, other.sequence);
+            return dueMicros != other.dueMicros ? Long.compare(dueMicros, other.dueMicros)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -24,50 +26,51 @@
         thread.start();
     }
 
+    /** The current time on the clock of all scheduled times, in microseconds of System.nanoTime. */
     public static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
-    /** Runs this at that time, or at once where it is over. */
-    public void schedule(long micros, Runnable work) {
-        boolean first;
+    /** Runs a task at the given time, or at once if that time has passed. */
+    public void schedule(long dueMicros, Runnable task) {
+        boolean isFirst;
         synchronized (queue) {
-            ScheduledTask due = new ScheduledTask(micros, ++lastSequence, work);
-            queue.add(due);
-            first = queue.peek() == due;
+            ScheduledTask scheduledTask = new ScheduledTask(dueMicros, ++lastSequence, task);
+            queue.add(scheduledTask);
+            isFirst = queue.peek() == scheduledTask;
         }
-        if (first) {
+        if (isFirst) {
             LockSupport.unpark(thread);
         }
     }
 
     private void run() {
         while (!closed) {
-            ScheduledTask due;
+            ScheduledTask scheduledTask;
             long now = nowMicros();
-            long wait = 1_000_000;
+            long waitMicros = 1_000_000;
             synchronized (queue) {
-                due = queue.peek();
-                if (due != null && due.dueMicros <= now) {
+                scheduledTask = queue.peek();
+                if (scheduledTask != null && scheduledTask.dueMicros <= now) {
                     queue.poll();
                 } else {
-                    wait = due == null ? wait : due.dueMicros - now;
-                    due = null;
+                    waitMicros = scheduledTask == null ? waitMicros : scheduledTask.dueMicros - now;
+                    scheduledTask = null;
                 }
             }
-            if (due == null) {
-                LockSupport.parkNanos(wait * 1000);
+            if (scheduledTask == null) {
+                LockSupport.parkNanos(waitMicros * 1000);
                 continue;
             }
             try {
-                due.task.run();
+                scheduledTask.task.run();
             } catch (RuntimeException e) {
-                firstFailure = firstFailure != null ? firstFailure : e; // the rest goes on, but the run is worth nothing
+                firstFailure = firstFailure != null ? firstFailure : e; // other tasks go on, but the run is void
             }
         }
     }
 
-    /** What went wrong first in the work it ran; null where nothing did. */
+    /** The first exception that a task threw; null if none did. */
     public RuntimeException firstFailure() {
         return firstFailure;
     }
