--- a/src/test/java/terndyke/LayersTest.java
+++ b/src/test/java/terndyke/LayersTest.java
@@ -10,7 +10,7 @@
 
 /**
  * Allowed dependencies between the packages: the decision module depends only on its API, the node depends on the decision
- * module, and nothing depends on the laboratory.
+ * module, nothing depends on the laboratory, and the laboratory depends on no classes of the node.
  */
 class LayersTest {
     private final JavaClasses programClasses = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
--- a/src/test/java/terndyke/ServeProcessTest.java
+++ b/src/test/java/terndyke/ServeProcessTest.java
@@ -102,7 +102,8 @@
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(2_000);
             client.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            String line = new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+            String line = new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
             return line == null ? "" : line;
         } catch (IOException e) {
             return ""; // refused, or closed to make room for another connection
--- a/src/test/java/terndyke/TruncatedMessageProcessTest.java
+++ b/src/test/java/terndyke/TruncatedMessageProcessTest.java
@@ -115,7 +115,8 @@
         }
         Thread.sleep(MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS);
         assertEquals(List.of(), ids.stream().filter(id -> callCount(id) > 1).toList(), "messages sent again");
-        assertEquals(List.of(), ids.stream().filter(id -> !"dead".equals(noticeResults.get(id))).toList(), "messages without the notice dead");
+        assertEquals(List.of(), ids.stream().filter(id -> !"dead".equals(noticeResults.get(id))).toList(),
+                "messages without the notice dead");
     }
 
     /** The client half-closes its connection at each byte of the head: no such request may be accepted. */
--- a/src/test/java/terndyke/node/DeliveryNodeTest.java
+++ b/src/test/java/terndyke/node/DeliveryNodeTest.java
@@ -157,7 +157,8 @@
     private String configuration(double diskMb, int sockets) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + listenAddress.getPort() + "\",\"discovery\":\"127.0.0.1:"
                 + discovery.getAddress().getPort() + "\",\"seed\":\"1\",\"limits\":{\"memory_mb\":192,\"sockets\":"
-                + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + knownListJson() + ",\"settings\":" + NodeConfigurationTest.SETTINGS + "}";
+                + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + knownListJson()
+                + ",\"settings\":" + NodeConfigurationTest.SETTINGS + "}";
     }
 
     private void startNode(double diskMb) throws IOException {
@@ -308,7 +309,8 @@
             String answer = sendRaw(half, true);
             assertTrue(answer.isEmpty() || answer.matches("(?s)HTTP/1.1 [45]\\d\\d .*"), half + ": " + answer);
         }
-        assertTrue(sendRaw(requestHead("r-2", "Transfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n", false).startsWith("HTTP/1.1 202"));
+        assertTrue(sendRaw(requestHead("r-2", "Transfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n", false)
+                .startsWith("HTTP/1.1 202"));
         assertEquals("r-2", pollNext(receivedCalls).id());
         assertEquals(1, node.counters().get(Counter.TAKEN));
     }
@@ -335,7 +337,8 @@
     void aRequestWithADuplicateOrMalformedHeaderIsNotTakenOn() throws Exception {
         startNode(3);
         for (String more : List.of("X-Consignee: dest=3", "Tenant: acme", "Request-Id: again", "Request-Timeout-Ms: 9")) {
-            assertTrue(sendRaw(requestHead("r-1", more, "Content-Length: 0", "Connection: close")).startsWith("HTTP/1.1 400"), more);
+            assertTrue(sendRaw(requestHead("r-1", more, "Content-Length: 0", "Connection: close"))
+                    .startsWith("HTTP/1.1 400"), more);
         }
         for (String timeout : List.of("+4000", "4e3", "-1", "NaN", "99999999999999999999", " ")) {
             assertEquals(400, send(requestBuilder("status", "r-2").setHeader("Request-Timeout-Ms", timeout), ""), timeout);
@@ -491,12 +494,14 @@
                 for (int number = 0; number < 100_000;) {
                     try (Socket socket = new Socket(listenAddress.getAddress(), listenAddress.getPort())) {
                         socket.setSoTimeout(5_000);
-                        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                        BufferedReader in = new BufferedReader(
+                                new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                         String first = "";
                         while (first != null) {
                             String id = who + ++number;
                             other.add(id);
-                            String request = requestHead(id, "Content-Length: 0").replace("Ms: 4000", "Ms: 60000"); // enough time for the next process run
+                            // a timeout long enough for the next process run
+                            String request = requestHead(id, "Content-Length: 0").replace("Ms: 4000", "Ms: 60000");
                             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
                             first = in.readLine();
                             if (first != null && first.contains(" 202 ")) {
@@ -532,7 +537,7 @@
         assertEquals(node.counters().get(Counter.REQUESTS_IN), taken.size() + refused.get(), "requests read but not answered");
         startNode(3);
         Set<String> delivered = new HashSet<>();
-        Set<String> owed = new HashSet<>(taken); // until delivered, or ended by a notice if more arrived than can be sent
+        Set<String> owed = new HashSet<>(taken); // until delivered or ended by a notice (if overloaded)
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!owed.isEmpty() && System.nanoTime() < end) {
             ReceivedCall call = receivedCalls.poll(20, TimeUnit.MILLISECONDS);
@@ -562,8 +567,9 @@
         reactor.start();
         AtomicInteger accepted = new AtomicInteger();
         AtomicInteger answered = new AtomicInteger();
-        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> answered.incrementAndGet() > 0 ? null : null);
+        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
+                getClass().getClassLoader(), new Class<?>[] {ClientRequest.Responder.class},
+                (self, method, given) -> answered.incrementAndGet() > 0 ? null : null);
         ClientRequest handover = new ClientRequest("r-1", 0, 0, 0, 99, null, 1000, false, false, new byte[0], 0, answer);
         desk.post(new LoopEvent.ShutdownRequested());
         Thread thread = new Thread(desk);
@@ -592,7 +598,8 @@
         NodeConfiguration charter = configuration(text);
         EndpointRegistry catalogue = new EndpointRegistry(charter.zoneNames(), charter.endpointKinds());
         catalogue.update(charter.knownEndpoints(), 0, new ArrayList<>());
-        RecordStore book = new RecordStore(Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>()),
+        RecordStore book = new RecordStore(
+                Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>()),
                 charter.limits(), counters, NO_LOG);
         return new DecisionLoop(charter, reactor, catalogue, book, new NodeClock(), counters, NO_LOG);
     }
@@ -601,7 +608,8 @@
     private List<String> runOneTurn(ClientRequest... records) throws Exception {
         Counters counters = new Counters();
         Reactor reactor = new Reactor(configuration().limits(), counters, NO_LOG);
-        DecisionLoop desk = createDecisionLoop(reactor, counters, configuration(3, 1024).replace("\"push\"", "\"ask\"")); // does not wait for a list
+        // with "ask" the loop does not wait for a list from discovery before its first turn
+        DecisionLoop desk = createDecisionLoop(reactor, counters, configuration(3, 1024).replace("\"push\"", "\"ask\""));
         reactor.start();
         for (ClientRequest record : records) {
             assertTrue(desk.offerRequest(record));
@@ -617,8 +625,8 @@
     private final List<String> clientAnswers = java.util.Collections.synchronizedList(new ArrayList<>());
 
     private ClientRequest createHandover(String who, long key, String body) {
-        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> {
+        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
+                getClass().getClassLoader(), new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> {
                     clientAnswers.add(who + " " + method.getName());
                     return null;
                 });
@@ -638,7 +646,7 @@
     @Test
     void aKilledNodeRecoversItsRecordsOfEachEffectAtTheNextStart() throws Exception {
         responseStatus = call -> NO_RESPONSE;
-        Path file = folder.resolve("charter.json");
+        Path file = folder.resolve("node-configuration.json");
         Files.writeString(file, configuration(3, 1024));
         Process first = startProcess(file);
         for (String grade : List.of("status", "order", "payment")) {
@@ -650,7 +658,8 @@
         responseStatus = call -> 200;
         Process second = startProcess(file);
         try {
-            assertEquals("{\"ref\":\"payment\",\"result\":\"dead\"}", pollNext(notices), "a shot that may have run must not be repeated");
+            assertEquals("{\"ref\":\"payment\",\"result\":\"dead\"}", pollNext(notices),
+                    "a shot that may have run must not be repeated");
             List<String> again = new ArrayList<>(List.of(pollNext(receivedCalls).id(), pollNext(receivedCalls).id()));
             again.sort(null);
             assertEquals(List.of("order", "status"), again);
@@ -666,7 +675,7 @@
 
     /** Restarts discovery at another address; returns a configuration file with that address. */
     private Path moveDiscovery() throws IOException {
-        Path file = folder.resolve("charter.json");
+        Path file = folder.resolve("node-configuration.json");
         discovery.stop(0);
         discovery = startServer("/", this::answerDiscovery);
         Files.writeString(file, configuration(3, 1024));
@@ -726,7 +735,7 @@
         replaced.stop(0);
     }
 
-    /** Recovered records must reach the decision module only in the turn in which it may act, or their deadlines would move back. */
+    /** The decision module must see recovered records only in the turn in which it may act, or their times would be longer. */
     @Test
     void waitingForDiscoveryAtStartupDoesNotExtendRecordDeadlines() throws Exception {
         responseStatus = call -> NO_RESPONSE;
@@ -741,7 +750,8 @@
         node = new DeliveryNode(configuration(), NO_LOG);
         node.start();
         assertEquals("r-1", pollNext(receivedCalls).id());
-        assertTrue(lastTimeoutMillis.get() <= ends - (began + 1_000) + 10, "the call was sent with a timeout of " + lastTimeoutMillis + " ms");
+        assertTrue(lastTimeoutMillis.get() <= ends - (began + 1_000) + 10,
+                "the call was sent with a timeout of " + lastTimeoutMillis + " ms");
     }
 
     /** Once the node is ready, the platform waits 1.5 s for the notices of all records that timed out while the node was down. */
@@ -752,7 +762,8 @@
         long now = new NodeClock().now();
         try (Journal journal = Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>())) {
             for (int i = 1; i <= owed; i++) {
-                journal.append(new JournalEntry.RecordAccepted(i, "r-" + i, 0, 0, 0, 3, null, now - 4_000_000, now - 1, new byte[0]));
+                journal.append(new JournalEntry.RecordAccepted(i, "r-" + i, 0, 0, 0, 3, null, now - 4_000_000, now - 1,
+                        new byte[0]));
             }
         }
         discoverySilent = true; // so that startup is still waiting when the module's first turn begins
@@ -806,13 +817,14 @@
     @Test
     void aReloadOfAnUnreadableConfigurationKeepsTheOldOne() throws Exception {
         startNode(3);
-        Path file = folder.resolve("charter.json");
+        Path file = folder.resolve("node-configuration.json");
         for (String broken : List.of("", "{", "[]", "{\"settings\":{}}", configuration(3, 1024).replace("\"seed\":\"1\"",
                 "\"seed\":\"x\""), configuration(3, 1024).replace("\"discovery\":\"127", "\"discovery\":\"nowhere"))) {
             Files.writeString(file, broken);
             node.reloadConfiguration(new NodeConfiguration.StartupOptions(file.toString(), null, null, null, folder.toString()));
         }
-        node.reloadConfiguration(new NodeConfiguration.StartupOptions(folder.resolve("none").toString(), null, null, null, folder.toString()));
+        node.reloadConfiguration(new NodeConfiguration.StartupOptions(folder.resolve("none").toString(), null, null, null,
+                folder.toString()));
         listUpdate = "{\"rev\":2,\"all\":false,\"targets\":[" + targetJson("s-2", 8) + "]}";
         responseStatus = call -> 500;
         assertEquals(202, submit("payment", "r-1"));
@@ -822,7 +834,7 @@
     @Test
     void aProcessReloadsItsConfigurationOnSighup() throws Exception {
         responseStatus = call -> 500;
-        Path file = folder.resolve("charter.json");
+        Path file = folder.resolve("node-configuration.json");
         Files.writeString(file, configuration(3, 1024));
         Process process = startProcess(file);
         try {
@@ -857,6 +869,7 @@
         } catch (AssertionError e) {
             process.destroyForcibly();
         }
-        throw new IllegalStateException("the node ended or was not ready in time; its log: " + Files.readString(folder.resolve("log")));
+        throw new IllegalStateException("the node ended or was not ready in time; its log: "
+                + Files.readString(folder.resolve("log")));
     }
 }
--- a/src/test/java/terndyke/node/MixedFleetTest.java
+++ b/src/test/java/terndyke/node/MixedFleetTest.java
@@ -36,7 +36,7 @@
 /**
  * During a migration some nodes run with the old settings and some with the new ones, and they share the endpoints. Runs two real
  * nodes of each kind against one destination with a common rate limit, which refuses all calls for a while. Nodes with the new
- * settings poll discovery for its list, nodes with the old settings hold a watch.
+ * settings request the list from discovery, nodes with the old settings receive it by a watch that they keep open.
  */
 class MixedFleetTest {
     private static final String OLD_SETTINGS = NodeConfigurationTest.SETTINGS.replace("\"balancers\":2", "\"balancers\":4");
@@ -54,7 +54,8 @@
     private record ReceivedCall(long atMillis, String recordId, boolean ran) { }
 
     private final ExecutorService executor = Executors.newFixedThreadPool(32);
-    private final HttpClient httpClient = HttpClient.newBuilder().executor(executor).connectTimeout(Duration.ofSeconds(5)).build();
+    private final HttpClient httpClient = HttpClient.newBuilder().executor(executor)
+            .connectTimeout(Duration.ofSeconds(5)).build();
     private final List<ReceivedCall> receivedCalls = new ArrayList<>();
     private final Map<String, String> noticeStates = new ConcurrentHashMap<>();
     private final List<HttpServer> servers = new ArrayList<>();
@@ -90,7 +91,8 @@
         long shutFor;
         synchronized (this) {
             long now = nowMillis();
-            availableCalls = Math.min(CALLS_PER_SECOND / 2.0, availableCalls + CALLS_PER_SECOND * (now - refilledAtMillis) / 1000.0);
+            availableCalls = Math.min(CALLS_PER_SECOND / 2.0,
+                    availableCalls + CALLS_PER_SECOND * (now - refilledAtMillis) / 1000.0);
             refilledAtMillis = now;
             shutFor = now >= SHUT_FROM_MILLIS && now < SHUT_UNTIL_MILLIS ? SHUT_UNTIL_MILLIS - now : 0;
             runs = shutFor == 0 && availableCalls >= 1;
@@ -127,11 +129,13 @@
             door = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
         }
         String json = "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + door.getPort() + "\",\"discovery\":\"127.0.0.1:"
-                + discovery + "\",\"seed\":\"" + (number + 1) + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},"
+                + discovery + "\",\"seed\":\"" + (number + 1)
+                + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},"
                 + "\"known\":{\"rev\":1,\"all\":true,\"targets\":[" + targetsJson + "]},\"settings\":"
                 + settings.replace("\"rank\":1", "\"rank\":" + number) + "}";
         DeliveryNode node = new DeliveryNode(NodeConfiguration.read(json.getBytes(StandardCharsets.UTF_8),
-                new NodeConfiguration.StartupOptions("file", null, null, null, Files.createDirectory(folder.resolve("n" + number)).toString())),
+                new NodeConfiguration.StartupOptions("file", null, null, null,
+                        Files.createDirectory(folder.resolve("n" + number)).toString())),
                 new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "n" + number));
         node.start();
         listenAddresses.put(number, door);
@@ -140,7 +144,8 @@
     }
 
     private boolean submit(int node, String id) throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + listenAddresses.get(node).getPort() + "/payment"))
+        HttpRequest request = HttpRequest
+                .newBuilder(URI.create("http://127.0.0.1:" + listenAddresses.get(node).getPort() + "/payment"))
                 .timeout(Duration.ofSeconds(10)).header("Request-Id", id).header("Tenant", "acme")
                 .header("Request-Timeout-Ms", "12000").header("X-Consignee", "dest=3")
                 .POST(HttpRequest.BodyPublishers.ofString(id)).build();
@@ -159,7 +164,8 @@
     void nodesWithOldAndNewSettingsShareOneDestinationAndKeepTheRules() throws Exception {
         HttpServer endpoint = startServer(this::answerEvent);
         targetsJson = "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:" + endpoint.getAddress().getPort() + "\",\"az\":\"east\","
-                + "\"model\":\"a\",\"pod_group\":3,\"state\":\"active\",\"capacity_hint\":" + CALLS_PER_SECOND + ",\"boot_ms\":0}";
+                + "\"model\":\"a\",\"pod_group\":3,\"state\":\"active\",\"capacity_hint\":" + CALLS_PER_SECOND
+                + ",\"boot_ms\":0}";
         HttpServer discovery = startServer(this::answerDiscovery);
         for (int number = 0; number < 4; number++) {
             startNode(number, number < 2 ? OLD_SETTINGS : NEW_SETTINGS, discovery.getAddress().getPort());
@@ -173,7 +179,8 @@
         }
         long end = nowMillis() + 14_000;
         while (nodes.stream().mapToLong(node -> node.counters().get(Counter.TAKEN) - node.counters().get(Counter.DONE)
-                - node.counters().get(Counter.ENDED_BOUNCED) - node.counters().get(Counter.ENDED_TERMINATED)).sum() > 0 && nowMillis() < end) {
+                - node.counters().get(Counter.ENDED_BOUNCED) - node.counters().get(Counter.ENDED_TERMINATED)).sum() > 0
+                && nowMillis() < end) {
             Thread.sleep(50);
         }
         Map<String, Integer> runs = new HashMap<>();
@@ -189,12 +196,15 @@
         assertTrue(runs.values().stream().allMatch(count -> count == 1), "an unrepeatable record ran twice: " + runs);
         for (int number = 0; number < 4; number++) {
             Counters counters = nodes.get(number).counters();
-            assertEquals(taken[number], done[number] + counters.get(Counter.ENDED_BOUNCED) + counters.get(Counter.ENDED_TERMINATED),
+            assertEquals(taken[number],
+                    done[number] + counters.get(Counter.ENDED_BOUNCED) + counters.get(Counter.ENDED_TERMINATED),
                     "node " + number + " left accepted records unfinished");
         }
         int old = done[0] + done[1];
         int fresh = done[2] + done[3];
-        assertTrue(old + fresh > 2 * RECORDS_PER_NODE, "too few records delivered: " + old + " by old settings, " + fresh + " by new ones");
-        assertTrue(2 * old > fresh && 2 * fresh > old, "uneven share of the rate limit: " + old + " by old settings, " + fresh + " by new ones");
+        assertTrue(old + fresh > 2 * RECORDS_PER_NODE,
+                "too few records delivered: " + old + " by old settings, " + fresh + " by new ones");
+        assertTrue(2 * old > fresh && 2 * fresh > old,
+                "uneven share of the rate limit: " + old + " by old settings, " + fresh + " by new ones");
     }
 }
--- a/src/test/java/terndyke/node/NodeConfigurationTest.java
+++ b/src/test/java/terndyke/node/NodeConfigurationTest.java
@@ -16,6 +16,7 @@
 import terndyke.api.DeliverySettings.ListedRateAccuracy;
 import terndyke.api.ServiceGrade.RepeatSemantics;
 
+/** Reading the configuration file: what is taken from it, and how errors in it are reported. */
 class NodeConfigurationTest {
     static final String SETTINGS = """
             {"balancers":2,"rank":1,"zone":0,"dcs":["east","west"],"kinds":["a","b"],"discovery":"push",
@@ -61,9 +62,11 @@
 
     @Test
     void anUnreadableConfigurationIsReportedByAMessage() {
-        for (String json : List.of("", "[]", "{", "{}", "{} {}", configurationJson("{}"), configurationJson(SETTINGS.replace("2.0", "\"x\"")),
+        for (String json : List.of("", "[]", "{", "{}", "{} {}", configurationJson("{}"),
+                configurationJson(SETTINGS.replace("2.0", "\"x\"")),
                 configurationJson(SETTINGS).replace("8c1f30d27a5be964", "no seed"),
-                configurationJson(SETTINGS).replace("127.0.0.1:8443", "some.host:8443"), configurationJson(SETTINGS).replace(":8500", ""))) {
+                configurationJson(SETTINGS).replace("127.0.0.1:8443", "some.host:8443"),
+                configurationJson(SETTINGS).replace(":8500", ""))) {
             IOException told = assertThrows(IOException.class, () -> read(json), json);
             assertTrue(told.getMessage() != null && !told.getMessage().isBlank());
         }
--- a/src/test/java/terndyke/node/SlowTurnDetectorTest.java
+++ b/src/test/java/terndyke/node/SlowTurnDetectorTest.java
@@ -8,6 +8,7 @@
 import terndyke.node.Counters.Counter;
 import terndyke.node.SlowTurnDetector.Phase;
 
+/** Which turns of the decision thread are logged as slow, and what the line says. */
 class SlowTurnDetectorTest {
     private final Counters counters = new Counters();
     private final SlowTurnDetector detector = new SlowTurnDetector(100_000, 1_000_000, counters);
--- a/src/test/java/terndyke/node/stage/DecisionLoopTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -32,7 +32,7 @@
     @TempDir
     Path folder;
 
-    /** The I/O thread sees the loop still running, but adds its request only after the loop has checked the queue for the last time. */
+    /** The I/O thread sees the loop running, but adds its request only after the loop has checked the queue for the last time. */
     @Test
     void aRecordAddedAfterTheFinalQueueCheckIsNotTakenOn() throws Exception {
         CountDownLatch adding = new CountDownLatch(1);
@@ -53,16 +53,20 @@
         };
         List<String> heard = Collections.synchronizedList(new ArrayList<>());
         ClientRequest.Responder answer = (ClientRequest.Responder) Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> heard.add(method.getName()) ? null : null);
+                new Class<?>[] {ClientRequest.Responder.class},
+                (self, method, given) -> heard.add(method.getName()) ? null : null);
         Counters counters = new Counters();
         try (ServerSocket silent = new ServerSocket(0)) {
-            NodeConfiguration charter = NodeFixtures.configuration(folder, new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
+            NodeConfiguration charter = NodeFixtures.configuration(folder,
+                    new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
             Reactor reactor = new Reactor(charter.limits(), counters, NodeFixtures.NO_LOG);
             reactor.start();
-            RecordStore book = new RecordStore(Journal.open(folder, charter.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
+            RecordStore book = new RecordStore(
+                    Journal.open(folder, charter.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
                     charter.limits(), counters, NodeFixtures.NO_LOG);
-            DecisionLoop desk = new DecisionLoop(charter, reactor, new EndpointRegistry(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(),
-                    counters, NodeFixtures.NO_LOG, inbox);
+            DecisionLoop desk = new DecisionLoop(charter, reactor,
+                    new EndpointRegistry(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(), counters,
+                    NodeFixtures.NO_LOG, inbox);
             Thread thread = new Thread(desk);
             thread.start();
             CompletableFuture<Boolean> taken = new CompletableFuture<>();
@@ -72,7 +76,8 @@
             desk.post(new LoopEvent.ShutdownRequested());
             thread.join(30_000);
             ended.countDown();
-            assertFalse(taken.get(30, TimeUnit.SECONDS), "offerRequest must report the request as not accepted: the ended loop will not answer it");
+            assertFalse(taken.get(30, TimeUnit.SECONDS),
+                    "offerRequest must report the request as not accepted: the ended loop will not answer it");
             assertEquals(List.of(), heard);
             reactor.close();
         }
--- a/src/test/java/terndyke/node/stage/StageTest.java
+++ b/src/test/java/terndyke/node/stage/StageTest.java
@@ -27,6 +27,7 @@
 import terndyke.node.journal.JournalEntry;
 import terndyke.node.journal.Journal;
 
+/** The stages of a record inside the node, the record store and the timers, without threads or sockets. */
 class StageTest {
     private static final NodeLog NO_LOG = new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test");
     private static final long NOW_MICROS = 1_000_000_000;
@@ -114,8 +115,8 @@
         recordStore.endRecord(over, JournalEntry.RecordOutcome.DONE, 0);
         ClientRequest told = handover("s", 3, 10, NOW_MICROS);
         assertFalse(admissionStage.admit(told, NOW_MICROS));
-        assertFalse(admissionStage.admit(new ClientRequest("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10], NOW_MICROS,
-                told.responder()), NOW_MICROS));
+        assertFalse(admissionStage.admit(new ClientRequest("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10],
+                NOW_MICROS, told.responder()), NOW_MICROS));
         assertEquals(List.of("taken", "refused 0", "delivered", "refused 0"), answers);
     }
 
@@ -272,7 +273,8 @@
     void aNoticeIsOneLineOfJson() {
         TrackedRecord owed = addRecord("a\"b\\c\u0007");
         recordStore.endRecord(owed, JournalEntry.RecordOutcome.BOUNCED, 500_000);
-        assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}", NotificationStage.formatNotice(owed));
+        assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}",
+                NotificationStage.formatNotice(owed));
     }
 
     @Test
@@ -289,7 +291,8 @@
         assertTrue(lines.length() <= limits.maxBodyBytes() && lines.length() > limits.maxBodyBytes() - 100);
         assertEquals(owing.subList(0, batch.size()), batch);
         assertEquals(3, NotificationStage.nextBatch(owing, 3, limits.maxBodyBytes(), new StringBuilder()).size());
-        assertEquals(1, NotificationStage.nextBatch(owing, 3, 10, new StringBuilder()).size(), "a batch holds at least one notice, however long it is");
+        assertEquals(1, NotificationStage.nextBatch(owing, 3, 10, new StringBuilder()).size(),
+                "a batch holds at least one notice, however long it is");
     }
 
     @Test
