--- a/src/test/java/terndyke/RawServer.java
+++ b/src/test/java/terndyke/RawServer.java
@@ -37,8 +37,8 @@
             return new Response(bytes, false);
         }
 
-        static Response truncated(String whole, int length) {
-            return new Response(whole.substring(0, length), true);
+        static Response truncated(String response, int length) {
+            return new Response(response.substring(0, length), true);
         }
 
         static Response json(String content) {
@@ -46,13 +46,13 @@
         }
     }
 
-    RawServer(Function<Request, Response> answers) throws IOException {
-        this.responder = answers;
+    RawServer(Function<Request, Response> responder) throws IOException {
+        this.responder = responder;
         startDaemon(this::acceptConnections);
     }
 
-    private static void startDaemon(Runnable work) {
-        Thread thread = new Thread(work, "raw-server");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "raw-server");
         thread.setDaemon(true);
         thread.start();
     }
@@ -77,8 +77,8 @@
         try (connection) {
             connection.setTcpNoDelay(true);
             InputStream in = connection.getInputStream();
-            for (int before = 0;; before++) {
-                Request request = readRequest(in, before);
+            for (int precedingRequests = 0;; precedingRequests++) {
+                Request request = readRequest(in, precedingRequests);
                 if (request == null) {
                     return;
                 }
@@ -97,18 +97,19 @@
         }
     }
 
-    private static Request readRequest(InputStream in, int before) throws IOException {
-        String first = readLine(in);
-        if (first == null) {
+    private static Request readRequest(InputStream in, int precedingRequests) throws IOException {
+        String requestLine = readLine(in);
+        if (requestLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
         for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
-            String[] sides = line.split(":", 2);
-            headers.put(sides[0].toLowerCase(Locale.ROOT), sides[1].strip());
+            String[] nameAndValue = line.split(":", 2);
+            headers.put(nameAndValue[0].toLowerCase(Locale.ROOT), nameAndValue[1].strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        return new Request(first.split(" ")[1], headers, new String(in.readNBytes(length), StandardCharsets.ISO_8859_1), before);
+        return new Request(requestLine.split(" ")[1], headers,
+                new String(in.readNBytes(length), StandardCharsets.ISO_8859_1), precedingRequests);
     }
 
     private static String readLine(InputStream in) throws IOException {
--- a/src/test/java/terndyke/ServeProcessTest.java
+++ b/src/test/java/terndyke/ServeProcessTest.java
@@ -31,8 +31,8 @@
         return TestNodeProcess.writeConfiguration(folder, listen, TestNodeProcess.freeAddress());
     }
 
-    private TestNodeProcess startNode(String before, Path configuration, String listen) throws IOException {
-        return TestNodeProcess.start(folder, before, configuration, listen);
+    private TestNodeProcess startNode(String shellPrefix, Path configuration, String listen) throws IOException {
+        return TestNodeProcess.start(folder, shellPrefix, configuration, listen);
     }
 
     /**
@@ -60,9 +60,9 @@
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (TestNodeProcess node = startNode("", pipe, listen)) {
-            try (OutputStream first = Files.newOutputStream(pipe)) { // blocks until the node opens the pipe for reading
+            try (OutputStream out = Files.newOutputStream(pipe)) { // blocks until the node opens the pipe for reading
                 node.sendHangup();
-                first.write(configuration);
+                out.write(configuration);
             }
             node.awaitLog("serving on");
             Files.write(pipe, configuration, StandardOpenOption.WRITE); // for the reload
@@ -76,24 +76,24 @@
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void idleClientsThatExhaustDescriptorsDoNotStopTheListener() throws Exception {
         String listen = TestNodeProcess.freeAddress();
-        List<SocketChannel> idle = new ArrayList<>();
+        List<SocketChannel> idleChannels = new ArrayList<>();
         try (TestNodeProcess node = startNode("ulimit -n 256; ", writeConfiguration(listen), listen)) {
             node.awaitLog("serving on");
             for (int i = 0; i < 1_000; i++) {
-                SocketChannel one = SocketChannel.open();
-                one.configureBlocking(false);
-                one.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()));
-                idle.add(one);
+                SocketChannel channel = SocketChannel.open();
+                channel.configureBlocking(false);
+                channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()));
+                idleChannels.add(channel);
             }
             String answer = "";
-            for (long end = System.nanoTime() + 20_000_000_000L; answer.isEmpty() && System.nanoTime() < end;) {
+            for (long deadline = System.nanoTime() + 20_000_000_000L; answer.isEmpty() && System.nanoTime() < deadline;) {
                 answer = requestHealth(node.port());
             }
             assertEquals("HTTP/1.1 200 OK", answer);
             node.assertCleanExit();
         } finally {
-            for (SocketChannel one : idle) {
-                one.close();
+            for (SocketChannel channel : idleChannels) {
+                channel.close();
             }
         }
     }
--- a/src/test/java/terndyke/SilentPlatformProcessTest.java
+++ b/src/test/java/terndyke/SilentPlatformProcessTest.java
@@ -57,11 +57,12 @@
                 TestNodeProcess node = TestNodeProcess.startServing(folder, platform.address())) {
             assertEquals("HTTP/1.1 202 Accepted", node.submit("payment", "first", 0, MESSAGE_TIMEOUT_MILLIS));
             assertEquals("first", notices.poll(10, TimeUnit.SECONDS));
-            long handedIn = System.nanoTime();
+            long submittedNanos = System.nanoTime();
             assertEquals("HTTP/1.1 202 Accepted", node.submit("payment", "second", 1, MESSAGE_TIMEOUT_MILLIS));
             assertNotNull(notices.poll(10, TimeUnit.SECONDS));
-            long took = (System.nanoTime() - handedIn) / 1_000_000;
-            assertTrue(took < MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS, "the notice arrived only after " + took + " ms");
+            long elapsedMillis = (System.nanoTime() - submittedNanos) / 1_000_000;
+            assertTrue(elapsedMillis < MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS,
+                    "the notice arrived only after " + elapsedMillis + " ms");
         }
     }
 }
--- a/src/test/java/terndyke/TestNodeProcess.java
+++ b/src/test/java/terndyke/TestNodeProcess.java
@@ -62,16 +62,16 @@
     }
 
     /** Starts a node from a shell that runs the given commands first. */
-    static TestNodeProcess start(Path folder, String before, Path configuration, String listen) throws IOException {
-        Matcher run = RUN_COMMAND_PATTERN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        assertTrue(run.find());
-        String line = run.group(1).replace("\\\n", " ").replace("-jar target/terndyke.jar",
+    static TestNodeProcess start(Path folder, String shellPrefix, Path configuration, String listen) throws IOException {
+        Matcher matcher = RUN_COMMAND_PATTERN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        assertTrue(matcher.find());
+        String command = matcher.group(1).replace("\\\n", " ").replace("-jar target/terndyke.jar",
                 "-cp '" + System.getProperty("java.class.path") + "' terndyke.Main");
-        ProcessBuilder start = new ProcessBuilder("/bin/sh", "-c", before + line).redirectErrorStream(true);
-        start.environment().put("NODE_CONFIG", configuration.toString());
-        start.environment().put("NODE_STATE", folder.resolve("state").toString());
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shellPrefix + command).redirectErrorStream(true);
+        builder.environment().put("NODE_CONFIG", configuration.toString());
+        builder.environment().put("NODE_STATE", folder.resolve("state").toString());
         Files.createDirectories(folder.resolve("state"));
-        return new TestNodeProcess(start.start(), port(listen));
+        return new TestNodeProcess(builder.start(), port(listen));
     }
 
     /** Starts a node that uses discovery at the given address, and waits until it serves. */
@@ -87,12 +87,12 @@
     }
 
     /** Reads the log up to a line that contains the given text. */
-    void awaitLog(String words) throws IOException {
+    void awaitLog(String text) throws IOException {
         String line = log.readLine();
-        while (line != null && !line.contains(words)) {
+        while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "the log ended without the text: " + words);
+        assertTrue(line != null, "the log ended without the text: " + text);
     }
 
     void sendHangup() throws IOException, InterruptedException {
@@ -114,10 +114,10 @@
     }
 
     /** Submits a message on a connection of its own; returns the first line of the answer. */
-    String submit(String grade, String id, int destination, long millis) throws IOException {
+    String submit(String grade, String id, int destination, long timeoutMillis) throws IOException {
         String body = "body of " + id;
         String request = "POST /" + grade + " HTTP/1.1\r\nHost: n0\r\nRequest-Id: " + id + "\r\nX-Consignee: dest=" + destination
-                + "\r\nRequest-Timeout-Ms: " + millis + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+                + "\r\nRequest-Timeout-Ms: " + timeoutMillis + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         return sendRaw(request, false).lines().findFirst().orElse("");
     }
 
@@ -125,17 +125,17 @@
      * Sends bytes on a connection of its own and half-closes it afterwards if asked to. Returns the answer: up to the end of the
      * connection if it was half-closed, otherwise up to the end of the head.
      */
-    String sendRaw(String bytes, boolean ends) throws IOException {
+    String sendRaw(String bytes, boolean halfClose) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(TIMEOUT_MILLIS);
             client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-            if (ends) {
+            if (halfClose) {
                 client.shutdownOutput();
             }
             StringBuilder answer = new StringBuilder();
             for (int next = client.getInputStream().read(); next >= 0; next = client.getInputStream().read()) {
                 answer.append((char) next);
-                if (!ends && answer.toString().endsWith("\r\n\r\n")) {
+                if (!halfClose && answer.toString().endsWith("\r\n\r\n")) {
                     break;
                 }
             }
--- a/src/test/java/terndyke/TruncatedMessageProcessTest.java
+++ b/src/test/java/terndyke/TruncatedMessageProcessTest.java
@@ -64,17 +64,17 @@
             return Response.complete(OK_RESPONSE);
         }
         String id = call.header("Request-Id");
-        int before = callCounts.computeIfAbsent(id, unseen -> new AtomicInteger()).getAndIncrement();
-        String[] words = id.split("-");
-        if (before > 0 || !words[0].equals("cut")) {
+        int earlierCalls = callCounts.computeIfAbsent(id, unseen -> new AtomicInteger()).getAndIncrement();
+        String[] idParts = id.split("-");
+        if (earlierCalls > 0 || !idParts[0].equals("cut")) {
             return Response.complete(OK_RESPONSE);
         }
-        return Response.truncated(words[1].equals("ok") ? OK_RESPONSE : UNAVAILABLE_RESPONSE, Integer.parseInt(words[2]));
+        return Response.truncated(idParts[1].equals("ok") ? OK_RESPONSE : UNAVAILABLE_RESPONSE, Integer.parseInt(idParts[2]));
     }
 
     private Response answerDiscovery(Request request) {
         if (request.path().equals("/v2/finals")) {
-            request.body().lines().map(line -> line.split("\"")).forEach(words -> noticeResults.put(words[3], words[7]));
+            request.body().lines().map(line -> line.split("\"")).forEach(parts -> noticeResults.put(parts[3], parts[7]));
             return Response.complete("HTTP/1.1 204 No Content\r\n\r\n");
         }
         if (request.path().contains("after=")) {
@@ -99,8 +99,8 @@
             assertEquals("HTTP/1.1 202 Accepted", node.submit("status", id, length, MESSAGE_TIMEOUT_MILLIS));
         }
         Thread.sleep(MESSAGE_TIMEOUT_MILLIS + NOTICE_GRACE_MILLIS);
-        List<String> forgotten = ids.stream().filter(id -> callCount(id) < 2 && !noticeResults.containsKey(id)).toList();
-        assertEquals(List.of(), forgotten, "messages neither sent again nor ended by a notice");
+        List<String> unfinished = ids.stream().filter(id -> callCount(id) < 2 && !noticeResults.containsKey(id)).toList();
+        assertEquals(List.of(), unfinished, "messages neither sent again nor ended by a notice");
     }
 
     /** A truncated first line with 503 does not prove that nothing ran: neither the node nor the client may send it again. */
@@ -122,20 +122,20 @@
     /** The client half-closes its connection at each byte of the head: no such request may be accepted. */
     @Test
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void aRequestCutInItsHeadIsNotTakenOn() throws Exception {
-        List<String> takenOn = new ArrayList<>();
-        for (int missing = 1; missing < completeHead("half-1").length(); missing++) {
-            String head = completeHead("half-" + missing);
-            String answer = node.sendRaw(head.substring(0, head.length() - missing), true);
+    void aRequestCutInItsHeadIsNotAccepted() throws Exception {
+        List<String> acceptedIds = new ArrayList<>();
+        for (int missingBytes = 1; missingBytes < completeHead("half-1").length(); missingBytes++) {
+            String head = completeHead("half-" + missingBytes);
+            String answer = node.sendRaw(head.substring(0, head.length() - missingBytes), true);
             if (answer.startsWith("HTTP/1.1 2")) {
-                takenOn.add("half-" + missing);
+                acceptedIds.add("half-" + missingBytes);
             }
         }
         assertEquals("HTTP/1.1 202 Accepted", node.submit("status", "whole", 0, MESSAGE_TIMEOUT_MILLIS));
-        for (long end = System.nanoTime() + 10_000_000_000L; callCount("whole") == 0 && System.nanoTime() < end;) {
+        for (long deadline = System.nanoTime() + 10_000_000_000L; callCount("whole") == 0 && System.nanoTime() < deadline;) {
             Thread.sleep(10);
         }
-        assertEquals(List.of(), takenOn);
+        assertEquals(List.of(), acceptedIds);
         assertEquals(Set.of("whole"), callCounts.keySet(), "messages forwarded to the endpoint");
         assertTrue(noticeResults.isEmpty());
     }
--- a/src/test/java/terndyke/node/DeliveryNodeTest.java
+++ b/src/test/java/terndyke/node/DeliveryNodeTest.java
@@ -68,7 +68,7 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(30); // long enough when all cores are loaded
 
     /** A call as the endpoint received it. */
-    private record ReceivedCall(String id, String mark, String body) { }
+    private record ReceivedCall(String id, String idempotencyKey, String body) { }
 
     private final BlockingQueue<ReceivedCall> receivedCalls = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> notices = new LinkedBlockingQueue<>();
@@ -109,12 +109,12 @@
     }
 
     private void answerEvent(HttpExchange call) throws IOException {
-        ReceivedCall one = new ReceivedCall(call.getRequestHeaders().getFirst("Request-Id"),
+        ReceivedCall receivedCall = new ReceivedCall(call.getRequestHeaders().getFirst("Request-Id"),
                 call.getRequestHeaders().getFirst("Idempotency-Key"),
                 new String(call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
         lastTimeoutMillis.set(Long.parseLong(call.getRequestHeaders().getFirst("Request-Timeout-Ms")));
-        int status = responseStatus.apply(one);
-        receivedCalls.add(one);
+        int status = responseStatus.apply(receivedCall);
+        receivedCalls.add(receivedCall);
         if (status != NO_RESPONSE) {
             call.sendResponseHeaders(status, -1);
             call.close();
@@ -132,14 +132,14 @@
         } else if (listUpdate.isEmpty() && (discoverySilent || call.getRequestURI().getQuery() != null)) {
             return; // a watch that stays unanswered
         } else if (listUpdate.isEmpty()) {
-            byte[] told = knownListJson().getBytes(StandardCharsets.UTF_8);
-            call.sendResponseHeaders(200, told.length);
-            call.getResponseBody().write(told);
+            byte[] list = knownListJson().getBytes(StandardCharsets.UTF_8);
+            call.sendResponseHeaders(200, list.length);
+            call.getResponseBody().write(list);
         } else {
-            byte[] told = listUpdate.getBytes(StandardCharsets.UTF_8);
+            byte[] list = listUpdate.getBytes(StandardCharsets.UTF_8);
             listUpdate = "";
-            call.sendResponseHeaders(200, told.length);
-            call.getResponseBody().write(told);
+            call.sendResponseHeaders(200, list.length);
+            call.getResponseBody().write(list);
         }
         call.close();
     }
@@ -166,9 +166,9 @@
     }
 
     private void startNode(double diskMb, int sockets) throws IOException {
-        NodeConfiguration charter = NodeConfiguration.read(configuration(diskMb, sockets).getBytes(StandardCharsets.UTF_8),
+        NodeConfiguration configuration = NodeConfiguration.read(configuration(diskMb, sockets).getBytes(StandardCharsets.UTF_8),
                 new NodeConfiguration.StartupOptions("file", null, null, null, folder.toString()));
-        node = new DeliveryNode(charter, new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test"));
+        node = new DeliveryNode(configuration, new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "test"));
         node.start();
     }
 
@@ -202,10 +202,10 @@
      * Waits for a time and not for a number of tries: during its warm-up a node answers health requests at once with 503,
      * which would use up the tries within the first 0.3 s.
      */
-    private static void waitUntil(Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TIMEOUT.toNanos();
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "condition not met within " + TIMEOUT);
+    private static void waitUntil(Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + TIMEOUT.toNanos();
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < deadline, "condition not met within " + TIMEOUT);
             Thread.sleep(20);
         }
     }
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void aRecordIsTakenOnAndDeliveredUnchanged() throws Exception {
+    void anAcceptedRecordIsDeliveredUnchanged() throws Exception {
         startNode(3);
         assertEquals(200, requestHealth());
         assertEquals(202, submit("status", "r-1"));
@@ -264,11 +264,11 @@
         return sendRaw(bytes, false);
     }
 
-    private String sendRaw(String bytes, boolean endsSending) throws IOException {
+    private String sendRaw(String bytes, boolean halfClose) throws IOException {
         try (Socket socket = new Socket(listenAddress.getAddress(), listenAddress.getPort())) {
             socket.setSoTimeout(4_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
-            if (endsSending) {
+            if (halfClose) {
                 socket.shutdownOutput();
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -277,13 +277,13 @@
         }
     }
 
-    private static String requestHead(String id, String... more) {
+    private static String requestHead(String id, String... extraHeaders) {
         return "POST /status HTTP/1.1\r\nHost: a\r\nRequest-Id: " + id + "\r\nTenant: acme\r\nRequest-Timeout-Ms: 4000\r\n"
-                + "X-Consignee: dest=3\r\n" + String.join("\r\n", more) + "\r\n\r\n";
+                + "X-Consignee: dest=3\r\n" + String.join("\r\n", extraHeaders) + "\r\n\r\n";
     }
 
     @Test
-    void aBodyWithAmbiguousLengthSmugglesNoRequestAndIsNotTakenOn() throws Exception {
+    void aBodyWithAmbiguousLengthSmugglesNoRequestAndIsNotAccepted() throws Exception {
         startNode(3);
         String hidden = requestHead("hidden", "Content-Length: 0");
         for (String lengths : List.of("Content-Length: 4\r\nTransfer-Encoding: chunked",
@@ -301,13 +301,13 @@
     }
 
     @Test
-    void aTruncatedBodyIsNotTakenOn() throws Exception {
+    void aTruncatedBodyIsNotAccepted() throws Exception {
         startNode(3);
         String chunked = requestHead("r-1", "Transfer-Encoding: chunked");
-        for (String half : List.of(chunked, chunked + "5\r\nhel", chunked + "5\r\nhello\r\n", chunked + "5\r\nhello\r\n0",
+        for (String truncated : List.of(chunked, chunked + "5\r\nhel", chunked + "5\r\nhello\r\n", chunked + "5\r\nhello\r\n0",
                 chunked + "0", requestHead("r-1", "Content-Length: 5") + "hell")) {
-            String answer = sendRaw(half, true);
-            assertTrue(answer.isEmpty() || answer.matches("(?s)HTTP/1.1 [45]\\d\\d .*"), half + ": " + answer);
+            String answer = sendRaw(truncated, true);
+            assertTrue(answer.isEmpty() || answer.matches("(?s)HTTP/1.1 [45]\\d\\d .*"), truncated + ": " + answer);
         }
         assertTrue(sendRaw(requestHead("r-2", "Transfer-Encoding: chunked") + "5\r\nhello\r\n0\r\n\r\n", false)
                 .startsWith("HTTP/1.1 202"));
@@ -334,11 +334,11 @@
     }
 
     @Test
-    void aRequestWithADuplicateOrMalformedHeaderIsNotTakenOn() throws Exception {
+    void aRequestWithADuplicateOrMalformedHeaderIsNotAccepted() throws Exception {
         startNode(3);
-        for (String more : List.of("X-Consignee: dest=3", "Tenant: acme", "Request-Id: again", "Request-Timeout-Ms: 9")) {
-            assertTrue(sendRaw(requestHead("r-1", more, "Content-Length: 0", "Connection: close"))
-                    .startsWith("HTTP/1.1 400"), more);
+        for (String header : List.of("X-Consignee: dest=3", "Tenant: acme", "Request-Id: again", "Request-Timeout-Ms: 9")) {
+            assertTrue(sendRaw(requestHead("r-1", header, "Content-Length: 0", "Connection: close"))
+                    .startsWith("HTTP/1.1 400"), header);
         }
         for (String timeout : List.of("+4000", "4e3", "-1", "NaN", "99999999999999999999", " ")) {
             assertEquals(400, send(requestBuilder("status", "r-2").setHeader("Request-Timeout-Ms", timeout), ""), timeout);
@@ -354,13 +354,13 @@
         try (Socket socket = new Socket(listenAddress.getAddress(), listenAddress.getPort())) {
             OutputStream out = socket.getOutputStream();
             out.write(requestHead("r-1", "Content-Length: 60000000").getBytes(StandardCharsets.US_ASCII));
-            byte[] part = new byte[1 << 16];
+            byte[] chunk = new byte[1 << 16];
             socket.setSoTimeout(5_000);
             assertEquals("HTTP/1.1 413", new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             int sent = 0;
             try {
-                for (; sent < 60_000_000; sent += part.length) {
-                    out.write(part);
+                for (; sent < 60_000_000; sent += chunk.length) {
+                    out.write(chunk);
                 }
             } catch (IOException e) {
                 // closed by the node, as expected
@@ -426,17 +426,17 @@
     @Test
     void aClientIsServedThoughIdleConnectionsUseUpTheLimit() throws Exception {
         startNode(3, 64);
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> idleConnections = new ArrayList<>();
         try {
             for (int i = 0; i < Limits.fromResources(192, 64, 3, 12, 40, 1, 1).maxClientConnections(); i++) {
-                silent.add(new Socket(listenAddress.getAddress(), listenAddress.getPort()));
+                idleConnections.add(new Socket(listenAddress.getAddress(), listenAddress.getPort()));
             }
-            waitUntil(() -> node.counters().get(Counter.CLIENT_CONNECTIONS) >= silent.size());
+            waitUntil(() -> node.counters().get(Counter.CLIENT_CONNECTIONS) >= idleConnections.size());
             Thread.sleep(100);
             assertEquals(202, submit("status", "r-1"));
             assertEquals("r-1", pollNext(receivedCalls).id());
         } finally {
-            for (Socket socket : silent) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
         }
@@ -457,12 +457,12 @@
         startNode(3);
         assertEquals(202, submit("order", "r-1"));
         assertNotNull(pollNext(receivedCalls));
-        Thread leaving = new Thread(node::close);
-        leaving.start();
+        Thread shutdownThread = new Thread(node::close);
+        shutdownThread.start();
         waitUntil(() -> requestHealth() == 503);
         assertEquals(503, submit("order", "r-2"));
-        leaving.join(4_000);
-        assertFalse(leaving.isAlive());
+        shutdownThread.join(4_000);
+        assertFalse(shutdownThread.isAlive());
         assertNull(notices.poll());
         responseStatus = call -> 200;
         receivedCalls.clear();
@@ -483,35 +483,35 @@
     @Test
     void requestsSentDuringShutdownAreAnsweredOrLeftUnread() throws Exception {
         startNode(3);
-        Set<String> taken = ConcurrentHashMap.newKeySet();
-        Set<String> other = ConcurrentHashMap.newKeySet();
-        AtomicInteger refused = new AtomicInteger();
-        AtomicBoolean closed = new AtomicBoolean();
+        Set<String> acceptedIds = ConcurrentHashMap.newKeySet();
+        Set<String> notAcceptedIds = ConcurrentHashMap.newKeySet();
+        AtomicInteger refusedCount = new AtomicInteger();
+        AtomicBoolean nodeClosed = new AtomicBoolean();
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            String who = "c" + i + "-";
+            String idPrefix = "c" + i + "-";
             clients.add(executor.submit(() -> {
                 for (int number = 0; number < 100_000;) {
                     try (Socket socket = new Socket(listenAddress.getAddress(), listenAddress.getPort())) {
                         socket.setSoTimeout(5_000);
                         BufferedReader in = new BufferedReader(
                                 new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-                        String first = "";
-                        while (first != null) {
-                            String id = who + ++number;
-                            other.add(id);
+                        String statusLine = "";
+                        while (statusLine != null) {
+                            String id = idPrefix + ++number;
+                            notAcceptedIds.add(id);
                             // a timeout long enough for the next process run
                             String request = requestHead(id, "Content-Length: 0").replace("Ms: 4000", "Ms: 60000");
                             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-                            first = in.readLine();
-                            if (first != null && first.contains(" 202 ")) {
-                                taken.add(id);
-                                other.remove(id);
-                            } else if (first != null) {
-                                assertTrue(first.contains(" 503 "), first);
-                                refused.incrementAndGet();
+                            statusLine = in.readLine();
+                            if (statusLine != null && statusLine.contains(" 202 ")) {
+                                acceptedIds.add(id);
+                                notAcceptedIds.remove(id);
+                            } else if (statusLine != null) {
+                                assertTrue(statusLine.contains(" 503 "), statusLine);
+                                refusedCount.incrementAndGet();
                             }
-                            for (String line = first; line != null && !line.isEmpty();) {
+                            for (String line = statusLine; line != null && !line.isEmpty();) {
                                 line = in.readLine();
                             }
                         }
@@ -521,66 +521,68 @@
                         number++; // connection closed, the request was not read
                     } catch (SocketTimeoutException e) {
                         // connected after the last read: the end of a process would close the socket, but this process goes on
-                        assertTrue(closed.get(), "request " + who + number + " got no answer from a node that was still running");
+                        assertTrue(nodeClosed.get(),
+                                "request " + idPrefix + number + " got no answer from a node that was still running");
                     }
                 }
                 return null;
             }));
         }
-        waitUntil(() -> taken.size() > 40);
+        waitUntil(() -> acceptedIds.size() > 40);
         node.close();
-        closed.set(true);
+        nodeClosed.set(true);
         for (Future<?> client : clients) {
             client.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         }
-        assertTrue(refused.get() > 0);
-        assertEquals(node.counters().get(Counter.REQUESTS_IN), taken.size() + refused.get(), "requests read but not answered");
+        assertTrue(refusedCount.get() > 0);
+        assertEquals(node.counters().get(Counter.REQUESTS_IN), acceptedIds.size() + refusedCount.get(),
+                "requests read but not answered");
         startNode(3);
-        Set<String> delivered = new HashSet<>();
-        Set<String> owed = new HashSet<>(taken); // until delivered or ended by a notice (if overloaded)
-        long end = System.nanoTime() + TIMEOUT.toNanos();
-        while (!owed.isEmpty() && System.nanoTime() < end) {
+        Set<String> deliveredIds = new HashSet<>();
+        Set<String> pendingIds = new HashSet<>(acceptedIds); // until delivered or ended by a notice (if overloaded)
+        long deadline = System.nanoTime() + TIMEOUT.toNanos();
+        while (!pendingIds.isEmpty() && System.nanoTime() < deadline) {
             ReceivedCall call = receivedCalls.poll(20, TimeUnit.MILLISECONDS);
             if (call != null) {
-                delivered.add(call.id());
-                owed.remove(call.id());
+                deliveredIds.add(call.id());
+                pendingIds.remove(call.id());
             }
             for (String notice = notices.poll(); notice != null; notice = notices.poll()) {
-                owed.remove(notice.split("\"")[3]);
+                pendingIds.remove(notice.split("\"")[3]);
             }
         }
-        assertEquals(Set.of(), owed, "accepted but neither delivered nor ended");
+        assertEquals(Set.of(), pendingIds, "accepted but neither delivered nor ended");
         assertEquals(202, submit("status", "last"));
         for (String id = ""; !id.equals("last");) {
             id = pollNext(receivedCalls).id();
-            delivered.add(id);
+            deliveredIds.add(id);
         }
-        delivered.retainAll(other);
-        assertEquals(Set.of(), delivered, "forwarded although refused or never read");
+        deliveredIds.retainAll(notAcceptedIds);
+        assertEquals(Set.of(), deliveredIds, "forwarded although refused or never read");
     }
 
     @Test
     void recordsOfferedUntilTheDecisionLoopEndsAreAllAnswered() throws Exception {
         Counters counters = new Counters();
         Reactor reactor = new Reactor(configuration().limits(), counters, NO_LOG);
-        DecisionLoop desk = createDecisionLoop(reactor, counters, configuration(3, 1024));
+        DecisionLoop decisionLoop = createDecisionLoop(reactor, counters, configuration(3, 1024));
         reactor.start();
-        AtomicInteger accepted = new AtomicInteger();
-        AtomicInteger answered = new AtomicInteger();
-        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
+        AtomicInteger acceptedCount = new AtomicInteger();
+        AtomicInteger answeredCount = new AtomicInteger();
+        ClientRequest.Responder responder = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {ClientRequest.Responder.class},
-                (self, method, given) -> answered.incrementAndGet() > 0 ? null : null);
-        ClientRequest handover = new ClientRequest("r-1", 0, 0, 0, 99, null, 1000, false, false, new byte[0], 0, answer);
-        desk.post(new LoopEvent.ShutdownRequested());
-        Thread thread = new Thread(desk);
+                (proxy, method, arguments) -> answeredCount.incrementAndGet() > 0 ? null : null);
+        ClientRequest request = new ClientRequest("r-1", 0, 0, 0, 99, null, 1000, false, false, new byte[0], 0, responder);
+        decisionLoop.post(new LoopEvent.ShutdownRequested());
+        Thread thread = new Thread(decisionLoop);
         thread.start();
         while (thread.isAlive()) { // as fast as possible, so that some requests are always queued
-            if (desk.offerRequest(handover)) {
-                accepted.incrementAndGet();
+            if (decisionLoop.offerRequest(request)) {
+                acceptedCount.incrementAndGet();
             }
         }
-        assertTrue(accepted.get() > 0);
-        assertEquals(accepted.get(), answered.get());
+        assertTrue(acceptedCount.get() > 0);
+        assertEquals(acceptedCount.get(), answeredCount.get());
         reactor.close();
     }
 
@@ -588,34 +590,34 @@
         return configuration(configuration(3, 1024));
     }
 
-    private NodeConfiguration configuration(String text) throws IOException {
-        return NodeConfiguration.read(text.getBytes(StandardCharsets.UTF_8),
+    private NodeConfiguration configuration(String json) throws IOException {
+        return NodeConfiguration.read(json.getBytes(StandardCharsets.UTF_8),
                 new NodeConfiguration.StartupOptions("file", null, null, null, folder.toString()));
     }
 
     /** Creates a decision loop with the configured endpoint list; its thread is not started. */
-    private DecisionLoop createDecisionLoop(Reactor reactor, Counters counters, String text) throws IOException {
-        NodeConfiguration charter = configuration(text);
-        EndpointRegistry catalogue = new EndpointRegistry(charter.zoneNames(), charter.endpointKinds());
-        catalogue.update(charter.knownEndpoints(), 0, new ArrayList<>());
-        RecordStore book = new RecordStore(
-                Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>()),
-                charter.limits(), counters, NO_LOG);
-        return new DecisionLoop(charter, reactor, catalogue, book, new NodeClock(), counters, NO_LOG);
+    private DecisionLoop createDecisionLoop(Reactor reactor, Counters counters, String json) throws IOException {
+        NodeConfiguration configuration = configuration(json);
+        EndpointRegistry endpointRegistry = new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds());
+        endpointRegistry.update(configuration.knownEndpoints(), 0, new ArrayList<>());
+        RecordStore recordStore = new RecordStore(
+                Journal.open(folder, configuration.limits().maxJournalBytes(), NO_LOG, new ArrayList<>()),
+                configuration.limits(), counters, NO_LOG);
+        return new DecisionLoop(configuration, reactor, endpointRegistry, recordStore, new NodeClock(), counters, NO_LOG);
     }
 
     /** Offers records to a decision loop before its first turn and runs it to its end; returns the answer to each client. */
-    private List<String> runOneTurn(ClientRequest... records) throws Exception {
+    private List<String> runOneTurn(ClientRequest... requests) throws Exception {
         Counters counters = new Counters();
         Reactor reactor = new Reactor(configuration().limits(), counters, NO_LOG);
         // with "ask" the loop does not wait for a list from discovery before its first turn
-        DecisionLoop desk = createDecisionLoop(reactor, counters, configuration(3, 1024).replace("\"push\"", "\"ask\""));
+        DecisionLoop decisionLoop = createDecisionLoop(reactor, counters, configuration(3, 1024).replace("\"push\"", "\"ask\""));
         reactor.start();
-        for (ClientRequest record : records) {
-            assertTrue(desk.offerRequest(record));
+        for (ClientRequest request : requests) {
+            assertTrue(decisionLoop.offerRequest(request));
         }
-        desk.post(new LoopEvent.ShutdownRequested());
-        Thread thread = new Thread(desk);
+        decisionLoop.post(new LoopEvent.ShutdownRequested());
+        Thread thread = new Thread(decisionLoop);
         thread.start();
         thread.join(TIMEOUT.toMillis());
         reactor.close();
@@ -624,23 +626,23 @@
 
     private final List<String> clientAnswers = java.util.Collections.synchronizedList(new ArrayList<>());
 
-    private ClientRequest createHandover(String who, long key, String body) {
-        ClientRequest.Responder answer = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
-                getClass().getClassLoader(), new Class<?>[] {ClientRequest.Responder.class}, (self, method, given) -> {
-                    clientAnswers.add(who + " " + method.getName());
+    private ClientRequest createRequest(String client, long key, String body) {
+        ClientRequest.Responder responder = (ClientRequest.Responder) java.lang.reflect.Proxy.newProxyInstance(
+                getClass().getClassLoader(), new Class<?>[] {ClientRequest.Responder.class}, (proxy, method, arguments) -> {
+                    clientAnswers.add(client + " " + method.getName());
                     return null;
                 });
         return new ClientRequest("r-1", 0, 0, key, 3, null, 4_000_000, false, false, body.getBytes(StandardCharsets.UTF_8),
-                new NodeClock().now(), answer);
+                new NodeClock().now(), responder);
     }
 
     @Test
     void differentRecordsWithOneIdInOneTurnAreBothRefusedButOfADuplicateOnlyTheSecond() throws Exception {
-        assertEquals(List.of("usual refused", "bad refused"), runOneTurn(createHandover("bad", 7, ""),
-                createHandover("usual", 9, "body")).stream().sorted(java.util.Comparator.reverseOrder()).toList());
+        assertEquals(List.of("usual refused", "bad refused"), runOneTurn(createRequest("bad", 7, ""),
+                createRequest("usual", 9, "body")).stream().sorted(java.util.Comparator.reverseOrder()).toList());
         clientAnswers.clear();
-        assertEquals(List.of("again refused", "usual taken"), runOneTurn(createHandover("usual", 9, "body"),
-                createHandover("again", 9, "body")).stream().sorted().toList());
+        assertEquals(List.of("again refused", "usual taken"), runOneTurn(createRequest("usual", 9, "body"),
+                createRequest("again", 9, "body")).stream().sorted().toList());
     }
 
     @Test
@@ -648,28 +650,28 @@
         responseStatus = call -> NO_RESPONSE;
         Path file = folder.resolve("node-configuration.json");
         Files.writeString(file, configuration(3, 1024));
-        Process first = startProcess(file);
+        Process firstProcess = startProcess(file);
         for (String grade : List.of("status", "order", "payment")) {
             assertEquals(202, submit(grade, grade));
             assertEquals(grade, pollNext(receivedCalls).id());
         }
-        first.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
+        firstProcess.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
         receivedCalls.clear();
         responseStatus = call -> 200;
-        Process second = startProcess(file);
+        Process secondProcess = startProcess(file);
         try {
             assertEquals("{\"ref\":\"payment\",\"result\":\"dead\"}", pollNext(notices),
                     "a shot that may have run must not be repeated");
-            List<String> again = new ArrayList<>(List.of(pollNext(receivedCalls).id(), pollNext(receivedCalls).id()));
-            again.sort(null);
-            assertEquals(List.of("order", "status"), again);
+            List<String> resentIds = new ArrayList<>(List.of(pollNext(receivedCalls).id(), pollNext(receivedCalls).id()));
+            resentIds.sort(null);
+            assertEquals(List.of("order", "status"), resentIds);
             waitUntil(() -> submit("status", "status") == 200); // 202 until the answer to its shot is read, then 200 (delivered)
             assertEquals(0, receivedCalls.size());
-            second.destroy();
-            assertTrue(second.waitFor(4, TimeUnit.SECONDS));
-            assertEquals(0, second.exitValue(), Files.readString(folder.resolve("log")));
+            secondProcess.destroy();
+            assertTrue(secondProcess.waitFor(4, TimeUnit.SECONDS));
+            assertEquals(0, secondProcess.exitValue(), Files.readString(folder.resolve("log")));
         } finally {
-            second.destroyForcibly();
+            secondProcess.destroyForcibly();
         }
     }
 
@@ -691,21 +693,21 @@
         assertNotNull(pollNext(receivedCalls));
         Path file = moveDiscovery();
         noticesToDrop.set(0);
-        long told = node.counters().get(Counter.LISTS_TOLD);
+        long listsBefore = node.counters().get(Counter.LISTS_TOLD);
         listUpdate = "{\"rev\":1,\"all\":true,\"targets\":[" + targetJson("s-1", 3) + "," + targetJson("s-9", 9) + "]}";
         node.reloadConfiguration(new NodeConfiguration.StartupOptions(file.toString(), null, null, null, folder.toString()));
         assertEquals("{\"ref\":\"r-1\",\"result\":\"dead\"}", pollNext(notices));
-        waitUntil(() -> node.counters().get(Counter.LISTS_TOLD) > told);
+        waitUntil(() -> node.counters().get(Counter.LISTS_TOLD) > listsBefore);
         responseStatus = call -> 200;
         assertEquals(202, send(requestBuilder("status", "r-2").setHeader("X-Consignee", "dest=9"), ""));
     }
 
     @Test
     void aReloadBeforeTheNodeServesTakesEffect() throws Exception {
-        NodeConfiguration old = configuration();
+        NodeConfiguration oldConfiguration = configuration();
         Path file = moveDiscovery();
         listUpdate = "{\"rev\":1,\"all\":true,\"targets\":[" + targetJson("s-9", 9) + "]}";
-        node = new DeliveryNode(old, NO_LOG);
+        node = new DeliveryNode(oldConfiguration, NO_LOG);
         node.reloadConfiguration(new NodeConfiguration.StartupOptions(file.toString(), null, null, null, folder.toString()));
         node.start();
         waitUntil(() -> node.counters().get(Counter.LISTS_TOLD) > 0);
@@ -721,18 +723,18 @@
         assertNotNull(pollNext(receivedCalls));
         node.close();
         receivedCalls.clear();
-        HttpServer replaced = endpoint;
+        HttpServer oldEndpoint = endpoint;
         endpoint = startServer("/events", this::answerEvent);
         listUpdate = "{\"rev\":2,\"all\":true,\"targets\":[" + targetJson("s-2", 3) + "]}";
-        AtomicInteger late = new AtomicInteger();
-        replaced.removeContext("/events");
-        replaced.createContext("/events", call -> late.incrementAndGet());
+        AtomicInteger oldEndpointCalls = new AtomicInteger();
+        oldEndpoint.removeContext("/events");
+        oldEndpoint.createContext("/events", call -> oldEndpointCalls.incrementAndGet());
         responseStatus = call -> 200;
-        node = new DeliveryNode(configurationWithOldList(replaced), NO_LOG);
+        node = new DeliveryNode(configurationWithOldList(oldEndpoint), NO_LOG);
         node.start();
         assertEquals("r-1", pollNext(receivedCalls).id());
-        assertEquals(0, late.get(), "calls to an endpoint that has left");
-        replaced.stop(0);
+        assertEquals(0, oldEndpointCalls.get(), "calls to an endpoint that has left");
+        oldEndpoint.stop(0);
     }
 
     /** The decision module must see recovered records only in the turn in which it may act, or their times would be longer. */
@@ -741,59 +743,59 @@
         responseStatus = call -> NO_RESPONSE;
         startNode(3);
         assertEquals(202, submit("status", "r-1"));
-        long ends = System.nanoTime() / 1_000_000 + 4_000;
+        long deadlineMillis = System.nanoTime() / 1_000_000 + 4_000;
         assertNotNull(pollNext(receivedCalls));
         node.close();
         receivedCalls.clear();
         discoverySilent = true; // a call at startup waits one second
-        long began = System.nanoTime() / 1_000_000;
+        long startMillis = System.nanoTime() / 1_000_000;
         node = new DeliveryNode(configuration(), NO_LOG);
         node.start();
         assertEquals("r-1", pollNext(receivedCalls).id());
-        assertTrue(lastTimeoutMillis.get() <= ends - (began + 1_000) + 10,
+        assertTrue(lastTimeoutMillis.get() <= deadlineMillis - (startMillis + 1_000) + 10,
                 "the call was sent with a timeout of " + lastTimeoutMillis + " ms");
     }
 
     /** Once the node is ready, the platform waits 1.5 s for the notices of all records that timed out while the node was down. */
     @Test
     void aNodeIsReadyOnlyAfterDecidingOnAllRecoveredRecords() throws Exception {
-        int owed = 2_000;
-        NodeConfiguration charter = configuration();
+        int recordCount = 2_000;
+        NodeConfiguration configuration = configuration();
         long now = new NodeClock().now();
-        try (Journal journal = Journal.open(folder, charter.limits().maxJournalBytes(), NO_LOG, new ArrayList<>())) {
-            for (int i = 1; i <= owed; i++) {
+        try (Journal journal = Journal.open(folder, configuration.limits().maxJournalBytes(), NO_LOG, new ArrayList<>())) {
+            for (int i = 1; i <= recordCount; i++) {
                 journal.append(new JournalEntry.RecordAccepted(i, "r-" + i, 0, 0, 0, 3, null, now - 4_000_000, now - 1,
                         new byte[0]));
             }
         }
         discoverySilent = true; // so that startup is still waiting when the module's first turn begins
-        node = new DeliveryNode(charter, NO_LOG);
+        node = new DeliveryNode(configuration, NO_LOG);
         node.start();
-        assertEquals(owed, node.counters().get(Counter.ENDED_BOUNCED) + node.counters().get(Counter.ENDED_TERMINATED));
-        Set<String> told = new HashSet<>();
-        while (told.size() < owed) {
-            told.add(pollNext(notices));
+        assertEquals(recordCount, node.counters().get(Counter.ENDED_BOUNCED) + node.counters().get(Counter.ENDED_TERMINATED));
+        Set<String> received = new HashSet<>();
+        while (received.size() < recordCount) {
+            received.add(pollNext(notices));
         }
     }
 
-    private NodeConfiguration configurationWithOldList(HttpServer replaced) throws IOException {
-        String text = configuration(3, 1024).replace("127.0.0.1:" + endpoint.getAddress().getPort(),
-                "127.0.0.1:" + replaced.getAddress().getPort());
-        return configuration(text);
+    private NodeConfiguration configurationWithOldList(HttpServer oldEndpoint) throws IOException {
+        String json = configuration(3, 1024).replace("127.0.0.1:" + endpoint.getAddress().getPort(),
+                "127.0.0.1:" + oldEndpoint.getAddress().getPort());
+        return configuration(json);
     }
 
     @Test
     void aNodeStoppedDuringStartupNeverReportsItselfReady() throws Exception {
         discoverySilent = true; // makes the startup take one second
         node = new DeliveryNode(configuration(), NO_LOG);
-        Thread starting = new Thread(() -> {
+        Thread startThread = new Thread(() -> {
             try {
                 node.start();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        starting.start();
+        startThread.start();
         waitUntil(() -> {
             try {
                 return requestHealth() == 503;
@@ -801,17 +803,17 @@
                 return false; // not listening yet
             }
         });
-        Thread leaving = new Thread(node::close);
-        leaving.start();
+        Thread shutdownThread = new Thread(node::close);
+        shutdownThread.start();
         try {
-            while (leaving.isAlive()) {
+            while (shutdownThread.isAlive()) {
                 assertEquals(503, requestHealth());
             }
         } catch (IOException e) {
-            assertFalse(starting.isAlive(), "the node stopped listening during its startup"); // connection refused
+            assertFalse(startThread.isAlive(), "the node stopped listening during its startup"); // connection refused
         }
-        leaving.join(TIMEOUT.toMillis());
-        starting.join(TIMEOUT.toMillis());
+        shutdownThread.join(TIMEOUT.toMillis());
+        startThread.join(TIMEOUT.toMillis());
     }
 
     @Test
--- a/src/test/java/terndyke/node/MixedFleetTest.java
+++ b/src/test/java/terndyke/node/MixedFleetTest.java
@@ -86,23 +86,23 @@
 
     private void answerEvent(HttpExchange call) throws IOException {
         call.getRequestBody().readAllBytes();
-        String record = call.getRequestHeaders().getFirst("Request-Id");
+        String recordId = call.getRequestHeaders().getFirst("Request-Id");
         boolean runs;
-        long shutFor;
+        long shutForMillis;
         synchronized (this) {
             long now = nowMillis();
             availableCalls = Math.min(CALLS_PER_SECOND / 2.0,
                     availableCalls + CALLS_PER_SECOND * (now - refilledAtMillis) / 1000.0);
             refilledAtMillis = now;
-            shutFor = now >= SHUT_FROM_MILLIS && now < SHUT_UNTIL_MILLIS ? SHUT_UNTIL_MILLIS - now : 0;
-            runs = shutFor == 0 && availableCalls >= 1;
+            shutForMillis = now >= SHUT_FROM_MILLIS && now < SHUT_UNTIL_MILLIS ? SHUT_UNTIL_MILLIS - now : 0;
+            runs = shutForMillis == 0 && availableCalls >= 1;
             availableCalls -= runs ? 1 : 0;
-            if (record != null) {
-                receivedCalls.add(new ReceivedCall(now, record, runs));
+            if (recordId != null) {
+                receivedCalls.add(new ReceivedCall(now, recordId, runs));
             }
         }
-        if (!runs && shutFor > 0) {
-            call.getResponseHeaders().set("Retry-After", String.valueOf(shutFor / 1000.0));
+        if (!runs && shutForMillis > 0) {
+            call.getResponseHeaders().set("Retry-After", String.valueOf(shutForMillis / 1000.0));
         }
         call.sendResponseHeaders(runs ? 200 : 429, -1);
         call.close();
@@ -124,12 +124,12 @@
     }
 
     private DeliveryNode startNode(int number, String settings, int discovery) throws IOException {
-        InetSocketAddress door;
+        InetSocketAddress listenAddress;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            door = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
+            listenAddress = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
         }
-        String json = "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + door.getPort() + "\",\"discovery\":\"127.0.0.1:"
-                + discovery + "\",\"seed\":\"" + (number + 1)
+        String json = "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + listenAddress.getPort()
+                + "\",\"discovery\":\"127.0.0.1:" + discovery + "\",\"seed\":\"" + (number + 1)
                 + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},"
                 + "\"known\":{\"rev\":1,\"all\":true,\"targets\":[" + targetsJson + "]},\"settings\":"
                 + settings.replace("\"rank\":1", "\"rank\":" + number) + "}";
@@ -138,7 +138,7 @@
                         Files.createDirectory(folder.resolve("n" + number)).toString())),
                 new NodeLog(new PrintStream(PrintStream.nullOutputStream()), "n" + number));
         node.start();
-        listenAddresses.put(number, door);
+        listenAddresses.put(number, listenAddress);
         nodes.add(node);
         return node;
     }
@@ -170,41 +170,41 @@
         for (int number = 0; number < 4; number++) {
             startNode(number, number < 2 ? OLD_SETTINGS : NEW_SETTINGS, discovery.getAddress().getPort());
         }
-        int[] taken = new int[4];
+        int[] accepted = new int[4];
         for (int record = 0; record < RECORDS_PER_NODE; record++) {
             for (int number = 0; number < 4; number++) {
-                taken[number] += submit(number, "r-" + number + "-" + record) ? 1 : 0;
+                accepted[number] += submit(number, "r-" + number + "-" + record) ? 1 : 0;
             }
             Thread.sleep(60);
         }
-        long end = nowMillis() + 14_000;
+        long deadlineMillis = nowMillis() + 14_000;
         while (nodes.stream().mapToLong(node -> node.counters().get(Counter.TAKEN) - node.counters().get(Counter.DONE)
                 - node.counters().get(Counter.ENDED_BOUNCED) - node.counters().get(Counter.ENDED_TERMINATED)).sum() > 0
-                && nowMillis() < end) {
+                && nowMillis() < deadlineMillis) {
             Thread.sleep(50);
         }
-        Map<String, Integer> runs = new HashMap<>();
+        Map<String, Integer> runCounts = new HashMap<>();
         int[] done = new int[4];
         synchronized (this) {
             for (ReceivedCall call : receivedCalls) {
                 if (call.ran) {
-                    runs.merge(call.recordId, 1, Integer::sum);
+                    runCounts.merge(call.recordId, 1, Integer::sum);
                     done[call.recordId.charAt(2) - '0']++;
                 }
             }
         }
-        assertTrue(runs.values().stream().allMatch(count -> count == 1), "an unrepeatable record ran twice: " + runs);
+        assertTrue(runCounts.values().stream().allMatch(count -> count == 1), "an unrepeatable record ran twice: " + runCounts);
         for (int number = 0; number < 4; number++) {
             Counters counters = nodes.get(number).counters();
-            assertEquals(taken[number],
+            assertEquals(accepted[number],
                     done[number] + counters.get(Counter.ENDED_BOUNCED) + counters.get(Counter.ENDED_TERMINATED),
                     "node " + number + " left accepted records unfinished");
         }
-        int old = done[0] + done[1];
-        int fresh = done[2] + done[3];
-        assertTrue(old + fresh > 2 * RECORDS_PER_NODE,
-                "too few records delivered: " + old + " by old settings, " + fresh + " by new ones");
-        assertTrue(2 * old > fresh && 2 * fresh > old,
-                "uneven share of the rate limit: " + old + " by old settings, " + fresh + " by new ones");
+        int doneByOld = done[0] + done[1];
+        int doneByNew = done[2] + done[3];
+        assertTrue(doneByOld + doneByNew > 2 * RECORDS_PER_NODE,
+                "too few records delivered: " + doneByOld + " by old settings, " + doneByNew + " by new ones");
+        assertTrue(2 * doneByOld > doneByNew && 2 * doneByNew > doneByOld,
+                "uneven share of the rate limit: " + doneByOld + " by old settings, " + doneByNew + " by new ones");
     }
 }
--- a/src/test/java/terndyke/node/NodeConfigurationTest.java
+++ b/src/test/java/terndyke/node/NodeConfigurationTest.java
@@ -47,17 +47,17 @@
 
     @Test
     void aConfigurationIsReadCompletely() throws IOException {
-        NodeConfiguration charter = read(configurationJson(SETTINGS));
-        assertEquals(List.of("status", "order", "payment"), charter.gradeNames());
-        assertEquals(List.of("acme"), charter.tenantNames());
-        assertEquals(List.of("east", "west"), charter.zoneNames());
-        assertEquals(0x8c1f30d27a5be964L, charter.deliverySettings().seed());
-        assertEquals(RepeatSemantics.DEDUPLICATED, charter.deliverySettings().grades().get(1).repeatSemantics());
-        assertEquals(List.of(false, true), charter.deliverySettings().independentRoutesByKind());
-        assertEquals(List.of(1, 1), charter.deliverySettings().maxRecordsPerCallByKind(), "a call carries one record");
-        assertEquals("s-1", charter.knownEndpoints().get("targets.0.uid"));
-        assertEquals(500_000, charter.limits().connectTimeoutMicros());
-        assertTrue(charter.limits().idleConnectionTimeoutMicros() < 15_000_000);
+        NodeConfiguration configuration = read(configurationJson(SETTINGS));
+        assertEquals(List.of("status", "order", "payment"), configuration.gradeNames());
+        assertEquals(List.of("acme"), configuration.tenantNames());
+        assertEquals(List.of("east", "west"), configuration.zoneNames());
+        assertEquals(0x8c1f30d27a5be964L, configuration.deliverySettings().seed());
+        assertEquals(RepeatSemantics.DEDUPLICATED, configuration.deliverySettings().grades().get(1).repeatSemantics());
+        assertEquals(List.of(false, true), configuration.deliverySettings().independentRoutesByKind());
+        assertEquals(List.of(1, 1), configuration.deliverySettings().maxRecordsPerCallByKind(), "a call carries one record");
+        assertEquals("s-1", configuration.knownEndpoints().get("targets.0.uid"));
+        assertEquals(500_000, configuration.limits().connectTimeoutMicros());
+        assertTrue(configuration.limits().idleConnectionTimeoutMicros() < 15_000_000);
     }
 
     @Test
@@ -67,46 +67,47 @@
                 configurationJson(SETTINGS).replace("8c1f30d27a5be964", "no seed"),
                 configurationJson(SETTINGS).replace("127.0.0.1:8443", "some.host:8443"),
                 configurationJson(SETTINGS).replace(":8500", ""))) {
-            IOException told = assertThrows(IOException.class, () -> read(json), json);
-            assertTrue(told.getMessage() != null && !told.getMessage().isBlank());
+            IOException exception = assertThrows(IOException.class, () -> read(json), json);
+            assertTrue(exception.getMessage() != null && !exception.getMessage().isBlank());
         }
     }
 
     @Test
     void pricesAndListSettingsComeFromTheConfiguration() throws IOException {
-        String told = SETTINGS.replace("\"weightSource\":\"rough\"", "\"weightSource\":\"nominal\"")
+        String settings = SETTINGS.replace("\"weightSource\":\"rough\"", "\"weightSource\":\"nominal\"")
                 .replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"")
                 .replace("\"late\":\"even\"", "\"late\":\"by_half\",\"zoneFee\":[0.01,0.04]")
                 .replace("\"tenants\":", "\"costs\":{\"crossZone\":0.03,\"handshake\":0.06},\"tenants\":");
-        DeliverySettings terms = read(configurationJson(told)).deliverySettings();
-        assertEquals(ListedRateAccuracy.EXACT, terms.listedRateAccuracy());
-        assertTrue(terms.listOnRequest() && terms.exponentialPayoffDecay());
-        assertEquals(List.of(0.01, 0.04), terms.hallFees());
-        assertEquals(0.03, terms.zoneCrossingPrice());
-        assertEquals(0.06, terms.newConnectionPrice());
+        DeliverySettings deliverySettings = read(configurationJson(settings)).deliverySettings();
+        assertEquals(ListedRateAccuracy.EXACT, deliverySettings.listedRateAccuracy());
+        assertTrue(deliverySettings.listOnRequest() && deliverySettings.exponentialPayoffDecay());
+        assertEquals(List.of(0.01, 0.04), deliverySettings.hallFees());
+        assertEquals(0.03, deliverySettings.zoneCrossingPrice());
+        assertEquals(0.06, deliverySettings.newConnectionPrice());
     }
 
     @Test
     void withoutPricesACallCostsNothingAndTheListIsRoughAndPushed() throws IOException {
-        DeliverySettings terms = read(configurationJson(SETTINGS)).deliverySettings();
-        assertEquals(ListedRateAccuracy.ROUGH, terms.listedRateAccuracy());
-        assertFalse(terms.listOnRequest());
-        assertEquals(0, terms.hallFee(0) + terms.zoneCrossingPrice() + terms.newConnectionPrice());
+        DeliverySettings deliverySettings = read(configurationJson(SETTINGS)).deliverySettings();
+        assertEquals(ListedRateAccuracy.ROUGH, deliverySettings.listedRateAccuracy());
+        assertFalse(deliverySettings.listOnRequest());
+        assertEquals(0,
+                deliverySettings.hallFee(0) + deliverySettings.zoneCrossingPrice() + deliverySettings.newConnectionPrice());
     }
 
     /** Guards against a mistyped setting that silently becomes a default; the message lists the allowed values. */
     @Test
     void anInvalidSettingIsReportedWithItsNameItsValueAndWhatIsAllowed() {
-        Map<String, List<String>> bad = Map.of(
+        Map<String, List<String>> expectedParts = Map.of(
                 SETTINGS.replace("\"rough\"", "\"nomnal\""), List.of("weightSource", "nomnal", "off, rough, nominal"),
                 SETTINGS.replace("\"push\"", "\"pull\""), List.of("discovery", "pull", "push, ask"),
                 SETTINGS.replace("\"late\":", "\"zoneFee\":[0.01,-4],\"late\":"), List.of("familyInfo.zoneFee", "-4", "0 to 1"),
                 SETTINGS.replace("\"tenants\":", "\"costs\":{\"handshake\":6},\"tenants\":"),
                 List.of("costs.handshake", "6", "0 to 1"));
-        bad.forEach((settings, parts) -> {
-            String told = assertThrows(IOException.class, () -> read(configurationJson(settings)), settings).getMessage();
-            parts.forEach(part -> assertTrue(told.contains(part), told));
-            assertFalse(told.contains("\n"));
+        expectedParts.forEach((settings, parts) -> {
+            String message = assertThrows(IOException.class, () -> read(configurationJson(settings)), settings).getMessage();
+            parts.forEach(part -> assertTrue(message.contains(part), message));
+            assertFalse(message.contains("\n"));
         });
     }
 
--- a/src/test/java/terndyke/node/NodeFixtures.java
+++ b/src/test/java/terndyke/node/NodeFixtures.java
@@ -14,10 +14,10 @@
 
     /** The settings of {@link NodeConfigurationTest}, an empty endpoint list and discovery at the given address. */
     public static NodeConfiguration configuration(Path folder, InetSocketAddress discovery) throws IOException {
-        String text = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
+        String json = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
                 + "\",\"seed\":\"1\",\"limits\":{\"memory_mb\":192,\"sockets\":1024,\"disk_mb\":3},\"known\":{},\"settings\":"
                 + NodeConfigurationTest.SETTINGS + "}";
-        return NodeConfiguration.read(text.getBytes(StandardCharsets.UTF_8),
+        return NodeConfiguration.read(json.getBytes(StandardCharsets.UTF_8),
                 new NodeConfiguration.StartupOptions("file", null, null, null, folder.toString()));
     }
 }
--- a/src/test/java/terndyke/node/SlowTurnDetectorTest.java
+++ b/src/test/java/terndyke/node/SlowTurnDetectorTest.java
@@ -13,12 +13,12 @@
     private final Counters counters = new Counters();
     private final SlowTurnDetector detector = new SlowTurnDetector(100_000, 1_000_000, counters);
 
-    private String runTurn(long at, long module, long sweep) {
-        detector.beginTurn(at);
-        detector.endEventPhase(1, at + 2_000);
-        detector.endPhase(Phase.MODULE, at + 2_000 + module);
-        detector.endPhase(Phase.SWEEP, at + 2_000 + module + sweep);
-        return detector.endTurn(at + 2_000 + module + sweep);
+    private String runTurn(long startMicros, long moduleMicros, long sweepMicros) {
+        detector.beginTurn(startMicros);
+        detector.endEventPhase(1, startMicros + 2_000);
+        detector.endPhase(Phase.MODULE, startMicros + 2_000 + moduleMicros);
+        detector.endPhase(Phase.SWEEP, startMicros + 2_000 + moduleMicros + sweepMicros);
+        return detector.endTurn(startMicros + 2_000 + moduleMicros + sweepMicros);
     }
 
     @Test
--- a/src/test/java/terndyke/node/WarmUpTest.java
+++ b/src/test/java/terndyke/node/WarmUpTest.java
@@ -11,10 +11,10 @@
 
     @Test
     void warmUpYieldsRepeatedlyHoweverLongItTakes() throws IOException {
-        int[] gaveWay = new int[1];
+        int[] yieldCount = new int[1];
         WarmUp.warmUpDispatcher(
                 NodeConfigurationTest.read(NodeConfigurationTest.configurationJson(NodeConfigurationTest.SETTINGS)),
-                60_000_000, () -> gaveWay[0]++);
-        assertTrue(gaveWay[0] >= 20, "yielded " + gaveWay[0] + " times");
+                60_000_000, () -> yieldCount[0]++);
+        assertTrue(yieldCount[0] >= 20, "yielded " + yieldCount[0] + " times");
     }
 }
--- a/src/test/java/terndyke/node/stage/DecisionLoopTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -34,51 +34,51 @@
 
     /** The I/O thread sees the loop running, but adds its request only after the loop has checked the queue for the last time. */
     @Test
-    void aRecordAddedAfterTheFinalQueueCheckIsNotTakenOn() throws Exception {
-        CountDownLatch adding = new CountDownLatch(1);
-        CountDownLatch ended = new CountDownLatch(1);
-        LinkedBlockingQueue<LoopEvent> inbox = new LinkedBlockingQueue<>() {
+    void aRequestAddedAfterTheFinalQueueCheckIsNotAccepted() throws Exception {
+        CountDownLatch requestBeingAdded = new CountDownLatch(1);
+        CountDownLatch loopEnded = new CountDownLatch(1);
+        LinkedBlockingQueue<LoopEvent> eventQueue = new LinkedBlockingQueue<>() {
             @Override
-            public boolean add(LoopEvent word) {
-                if (word instanceof LoopEvent.RequestReceived) {
-                    adding.countDown();
+            public boolean add(LoopEvent event) {
+                if (event instanceof LoopEvent.RequestReceived) {
+                    requestBeingAdded.countDown();
                     try {
-                        ended.await();
+                        loopEnded.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 }
-                return super.add(word);
+                return super.add(event);
             }
         };
-        List<String> heard = Collections.synchronizedList(new ArrayList<>());
-        ClientRequest.Responder answer = (ClientRequest.Responder) Proxy.newProxyInstance(getClass().getClassLoader(),
+        List<String> answers = Collections.synchronizedList(new ArrayList<>());
+        ClientRequest.Responder responder = (ClientRequest.Responder) Proxy.newProxyInstance(getClass().getClassLoader(),
                 new Class<?>[] {ClientRequest.Responder.class},
-                (self, method, given) -> heard.add(method.getName()) ? null : null);
+                (proxy, method, arguments) -> answers.add(method.getName()) ? null : null);
         Counters counters = new Counters();
-        try (ServerSocket silent = new ServerSocket(0)) {
-            NodeConfiguration charter = NodeFixtures.configuration(folder,
-                    new InetSocketAddress("127.0.0.1", silent.getLocalPort()));
-            Reactor reactor = new Reactor(charter.limits(), counters, NodeFixtures.NO_LOG);
+        try (ServerSocket silentDiscovery = new ServerSocket(0)) {
+            NodeConfiguration configuration = NodeFixtures.configuration(folder,
+                    new InetSocketAddress("127.0.0.1", silentDiscovery.getLocalPort()));
+            Reactor reactor = new Reactor(configuration.limits(), counters, NodeFixtures.NO_LOG);
             reactor.start();
-            RecordStore book = new RecordStore(
-                    Journal.open(folder, charter.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
-                    charter.limits(), counters, NodeFixtures.NO_LOG);
-            DecisionLoop desk = new DecisionLoop(charter, reactor,
-                    new EndpointRegistry(charter.zoneNames(), charter.endpointKinds()), book, new NodeClock(), counters,
-                    NodeFixtures.NO_LOG, inbox);
-            Thread thread = new Thread(desk);
+            RecordStore recordStore = new RecordStore(
+                    Journal.open(folder, configuration.limits().maxJournalBytes(), NodeFixtures.NO_LOG, new ArrayList<>()),
+                    configuration.limits(), counters, NodeFixtures.NO_LOG);
+            DecisionLoop decisionLoop = new DecisionLoop(configuration, reactor,
+                    new EndpointRegistry(configuration.zoneNames(), configuration.endpointKinds()), recordStore, new NodeClock(),
+                    counters, NodeFixtures.NO_LOG, eventQueue);
+            Thread thread = new Thread(decisionLoop);
             thread.start();
-            CompletableFuture<Boolean> taken = new CompletableFuture<>();
-            new Thread(() -> taken.complete(desk.offerRequest(new ClientRequest("r-1", 0, 0, 0, 3, null, 4_000_000, false, false,
-                    new byte[0], new NodeClock().now(), answer)))).start();
-            adding.await();
-            desk.post(new LoopEvent.ShutdownRequested());
+            CompletableFuture<Boolean> accepted = new CompletableFuture<>();
+            new Thread(() -> accepted.complete(decisionLoop.offerRequest(new ClientRequest("r-1", 0, 0, 0, 3, null, 4_000_000, false,
+                    false, new byte[0], new NodeClock().now(), responder)))).start();
+            requestBeingAdded.await();
+            decisionLoop.post(new LoopEvent.ShutdownRequested());
             thread.join(30_000);
-            ended.countDown();
-            assertFalse(taken.get(30, TimeUnit.SECONDS),
+            loopEnded.countDown();
+            assertFalse(accepted.get(30, TimeUnit.SECONDS),
                     "offerRequest must report the request as not accepted: the ended loop will not answer it");
-            assertEquals(List.of(), heard);
+            assertEquals(List.of(), answers);
             reactor.close();
         }
     }
--- a/src/test/java/terndyke/node/stage/StageTest.java
+++ b/src/test/java/terndyke/node/stage/StageTest.java
@@ -37,7 +37,7 @@
 
     private final Limits limits = Limits.fromResources(192, 1024, 0.2, 8, 3, 1_000_000, 15_000_000);
     private final Counters counters = new Counters();
-    private final EndpointRegistry catalogue = new EndpointRegistry(List.of("east"), List.of("a"));
+    private final EndpointRegistry endpointRegistry = new EndpointRegistry(List.of("east"), List.of("a"));
     private final List<String> answers = new ArrayList<>();
     private final IntakeStage intakeStage = new IntakeStage(40);
     private Journal journal;
@@ -48,14 +48,14 @@
     void start() throws IOException {
         journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, new ArrayList<>());
         recordStore = new RecordStore(journal, limits, counters, NO_LOG);
-        admissionStage = new AdmissionStage(limits, counters, catalogue, recordStore);
-        catalogue.update(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"east\","
-                + "\"model\":\"a\",\"pod_group\":3,\"state\":\"active\"}]}").getBytes(StandardCharsets.UTF_8),
+        admissionStage = new AdmissionStage(limits, counters, endpointRegistry, recordStore);
+        endpointRegistry.update(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:1\","
+                + "\"az\":\"east\",\"model\":\"a\",\"pod_group\":3,\"state\":\"active\"}]}").getBytes(StandardCharsets.UTF_8),
                 NOW_MICROS, new ArrayList<>());
     }
 
-    private ClientRequest handover(String id, int destination, int size, long readAt) {
-        return new ClientRequest(id, 0, 0, 9, destination, null, 5_000_000, false, false, new byte[size], readAt,
+    private ClientRequest createRequest(String id, int destination, int bodyLength, long receivedAt) {
+        return new ClientRequest(id, 0, 0, 9, destination, null, 5_000_000, false, false, new byte[bodyLength], receivedAt,
                 new ClientRequest.Responder() {
                     @Override
                     public void taken() {
@@ -68,8 +68,8 @@
                     }
 
                     @Override
-                    public void refused(long after) {
-                        answers.add("refused " + after);
+                    public void refused(long waitMicros) {
+                        answers.add("refused " + waitMicros);
                     }
 
                     @Override
@@ -80,62 +80,63 @@
     }
 
     private TrackedRecord addRecord(String id) {
-        TrackedRecord owed = intakeStage.createRecord(handover(id, 3, 10, NOW_MICROS));
-        assertTrue(recordStore.tryAdd(owed));
-        return owed;
+        TrackedRecord record = intakeStage.createRecord(createRequest(id, 3, 10, NOW_MICROS));
+        assertTrue(recordStore.tryAdd(record));
+        return record;
     }
 
     private RecordStore reopenStore() throws IOException {
         journal.close();
         List<JournalEntry> entries = new ArrayList<>();
         journal = Journal.open(folder, limits.maxJournalBytes(), NO_LOG, entries);
-        RecordStore again = new RecordStore(journal, limits, counters, NO_LOG);
-        again.restore(entries);
-        return again;
+        RecordStore reopened = new RecordStore(journal, limits, counters, NO_LOG);
+        reopened.restore(entries);
+        return reopened;
     }
 
     @Test
     void recordNumbersContinueFromThePreviousRun() {
-        assertEquals(41, intakeStage.createRecord(handover("r", 3, 1, NOW_MICROS)).entry.number());
-        assertEquals(NOW_MICROS + 5_000_000, intakeStage.createRecord(handover("r", 3, 1, NOW_MICROS)).entry.abandonAt());
+        assertEquals(41, intakeStage.createRecord(createRequest("r", 3, 1, NOW_MICROS)).entry.number());
+        assertEquals(NOW_MICROS + 5_000_000, intakeStage.createRecord(createRequest("r", 3, 1, NOW_MICROS)).entry.abandonAt());
     }
 
     @Test
     void aNewRecordIsAdmitted() {
-        assertTrue(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertTrue(admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of(), answers);
     }
 
     @Test
     void aDifferentRecordWithAKnownIdIsRefused() {
         addRecord("r");
-        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
-        assertFalse(admissionStage.admit(handover("r", 3, 0, NOW_MICROS), NOW_MICROS));
-        TrackedRecord over = addRecord("s");
-        recordStore.endRecord(over, JournalEntry.RecordOutcome.DONE, 0);
-        ClientRequest told = handover("s", 3, 10, NOW_MICROS);
-        assertFalse(admissionStage.admit(told, NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("r", 3, 0, NOW_MICROS), NOW_MICROS));
+        TrackedRecord ended = addRecord("s");
+        recordStore.endRecord(ended, JournalEntry.RecordOutcome.DONE, 0);
+        ClientRequest duplicate = createRequest("s", 3, 10, NOW_MICROS);
+        assertFalse(admissionStage.admit(duplicate, NOW_MICROS));
         assertFalse(admissionStage.admit(new ClientRequest("s", 0, 0, 8, 3, null, 5_000_000, false, false, new byte[10],
-                NOW_MICROS, told.responder()), NOW_MICROS));
+                NOW_MICROS, duplicate.responder()), NOW_MICROS));
         assertEquals(List.of("taken", "refused 0", "delivered", "refused 0"), answers);
     }
 
     @Test
     void anUnknownDestinationFails() {
-        assertFalse(admissionStage.admit(handover("r", 4, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("r", 4, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of("failed 400"), answers);
     }
 
     @Test
     void aRequestThatWaitedTooLongIsRefused() {
-        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS + limits.maxAdmissionDelayMicros() + 1));
+        assertFalse(admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS),
+                NOW_MICROS + limits.maxAdmissionDelayMicros() + 1));
         assertEquals(List.of("refused 0"), answers);
     }
 
     @Test
     void aNodeThatShutsDownRefusesNewRecords() {
         admissionStage.beginShutdown();
-        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS), NOW_MICROS));
         assertEquals(List.of("refused 0"), answers);
     }
 
@@ -144,64 +145,64 @@
         for (int i = 0; i < limits.maxHeldRecords(); i++) {
             addRecord("r" + i);
         }
-        assertFalse(admissionStage.admit(handover("one more", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("one more", 3, 10, NOW_MICROS), NOW_MICROS));
     }
 
     @Test
     void recordsAdmittedInOneTurnCountBeforeTheyAreJournalled() {
         for (int i = 0; i < limits.maxHeldRecords(); i++) {
-            assertTrue(admissionStage.admit(handover("r" + i, 3, 10, NOW_MICROS), NOW_MICROS));
+            assertTrue(admissionStage.admit(createRequest("r" + i, 3, 10, NOW_MICROS), NOW_MICROS));
         }
-        assertFalse(admissionStage.admit(handover("one more", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("one more", 3, 10, NOW_MICROS), NOW_MICROS));
         recordStore.clearReservations();
-        assertTrue(admissionStage.admit(handover("another", 3, 10, NOW_MICROS), NOW_MICROS));
+        assertTrue(admissionStage.admit(createRequest("another", 3, 10, NOW_MICROS), NOW_MICROS));
     }
 
     @Test
     void aRecordTheJournalHasNoRoomForIsRefused() {
-        assertFalse(admissionStage.admit(handover("r", 3, (int) limits.maxJournalBytes() / 2, NOW_MICROS), NOW_MICROS));
+        assertFalse(admissionStage.admit(createRequest("r", 3, (int) limits.maxJournalBytes() / 2, NOW_MICROS), NOW_MICROS));
         assertEquals(1, counters.get(Counter.JOURNAL_REFUSALS));
     }
 
     @Test
     void aDuplicateGetsTheAnswerOfTheOriginal() {
-        TrackedRecord owed = addRecord("r");
-        assertFalse(admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS));
-        recordStore.endRecord(owed, JournalEntry.RecordOutcome.DONE, 0);
-        admissionStage.admit(handover("r", 3, 10, NOW_MICROS), NOW_MICROS);
+        TrackedRecord record = addRecord("r");
+        assertFalse(admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS), NOW_MICROS));
+        recordStore.endRecord(record, JournalEntry.RecordOutcome.DONE, 0);
+        admissionStage.admit(createRequest("r", 3, 10, NOW_MICROS), NOW_MICROS);
         recordStore.endRecord(addRecord("b"), JournalEntry.RecordOutcome.BOUNCED, 700);
-        admissionStage.admit(handover("b", 3, 10, NOW_MICROS), NOW_MICROS);
+        admissionStage.admit(createRequest("b", 3, 10, NOW_MICROS), NOW_MICROS);
         recordStore.endRecord(addRecord("t"), JournalEntry.RecordOutcome.TERMINATED, 0);
-        admissionStage.admit(handover("t", 3, 10, NOW_MICROS), NOW_MICROS);
+        admissionStage.admit(createRequest("t", 3, 10, NOW_MICROS), NOW_MICROS);
         assertEquals(List.of("taken", "delivered", "refused 700", "failed 500"), answers);
     }
 
     @Test
     void theRecordStoreIsRestoredWithShotsAndEnds() throws IOException {
         TrackedRecord open = addRecord("open");
-        TrackedRecord.Shot out = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
-        open.shots.add(out);
-        recordStore.journalShot(open, out);
-        TrackedRecord over = addRecord("over");
-        recordStore.endRecord(over, JournalEntry.RecordOutcome.BOUNCED, 500);
-        RecordStore again = reopenStore();
-        assertEquals(42, again.lastRecordNumber());
-        assertNull(again.findById("open").shots.get(0).ending);
-        assertEquals(10, again.findById("open").entry.body().length);
-        assertEquals(JournalEntry.RecordOutcome.BOUNCED, again.findById("over").outcome);
-        assertFalse(again.findById("over").noticeSettled);
-        assertEquals(1, again.heldOrAdmittedCount());
+        TrackedRecord.Shot shot = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
+        open.shots.add(shot);
+        recordStore.journalShot(open, shot);
+        TrackedRecord ended = addRecord("over");
+        recordStore.endRecord(ended, JournalEntry.RecordOutcome.BOUNCED, 500);
+        RecordStore reopened = reopenStore();
+        assertEquals(42, reopened.lastRecordNumber());
+        assertNull(reopened.findById("open").shots.get(0).ending);
+        assertEquals(10, reopened.findById("open").entry.body().length);
+        assertEquals(JournalEntry.RecordOutcome.BOUNCED, reopened.findById("over").outcome);
+        assertFalse(reopened.findById("over").noticeSettled);
+        assertEquals(1, reopened.heldOrAdmittedCount());
     }
 
     @Test
     void compactionKeepsOpenRecordsHoweverMuchWasWritten() throws IOException {
         TrackedRecord kept = addRecord("kept");
         for (int i = 0; i < 3_000; i++) {
-            TrackedRecord passing = addRecord("passing" + i);
+            TrackedRecord shortLived = addRecord("passing" + i);
             TrackedRecord.Shot shot = new TrackedRecord.Shot(0, 7, "s", 1, NOW_MICROS);
-            passing.shots.add(shot);
-            assertTrue(recordStore.journalShot(passing, shot), "the journal must always have room for a shot");
-            recordStore.endRecord(passing, JournalEntry.RecordOutcome.DONE, 0);
+            shortLived.shots.add(shot);
+            assertTrue(recordStore.journalShot(shortLived, shot), "the journal must always have room for a shot");
+            recordStore.endRecord(shortLived, JournalEntry.RecordOutcome.DONE, 0);
             recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
             recordStore.compactIfNeeded();
         }
@@ -215,10 +216,10 @@
         int admitted = 0;
         for (int i = 0; i < 200; i++) {
             admitted += recordStore.tryReserve(4_000) ? 1 : 0;
-            TrackedRecord passing = intakeStage.createRecord(handover("passing" + i, 3, 4_000, NOW_MICROS));
-            assertTrue(recordStore.tryAdd(passing));
+            TrackedRecord shortLived = intakeStage.createRecord(createRequest("passing" + i, 3, 4_000, NOW_MICROS));
+            assertTrue(recordStore.tryAdd(shortLived));
             recordStore.clearReservations();
-            recordStore.endRecord(passing, JournalEntry.RecordOutcome.DONE, 0);
+            recordStore.endRecord(shortLived, JournalEntry.RecordOutcome.DONE, 0);
             recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
         }
         assertEquals(200, admitted);
@@ -226,11 +227,11 @@
 
     @Test
     void anEndedRecordIsKeptUntilItsNoticeIsAnswered() {
-        TrackedRecord owed = addRecord("r");
-        recordStore.endRecord(owed, JournalEntry.RecordOutcome.TERMINATED, 0);
+        TrackedRecord record = addRecord("r");
+        recordStore.endRecord(record, JournalEntry.RecordOutcome.TERMINATED, 0);
         recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
-        assertEquals(owed, recordStore.findById("r"));
-        recordStore.settleNotice(owed);
+        assertEquals(record, recordStore.findById("r"));
+        recordStore.settleNotice(record);
         recordStore.evictEnded(NOW_MICROS + 60_000_000, 0);
         assertNull(recordStore.findById("r"));
     }
@@ -256,8 +257,8 @@
     void aReportWithMissingOrInvalidFiguresIsDiscarded() {
         List<String> fields = List.of("x0", "x1");
         assertEquals(List.of(0.4f, 25f), toList(SendStage.parseReport("x1=25, x0=0.4", fields)));
-        for (String spoilt : List.of("", "x0=0.4", "x0=0.4,x1=NaN", "x0=0.4,x1=-1", "x0=Infinity,x1=2", "x0=0.4,x1", "=,,=")) {
-            assertEquals(List.of(), toList(SendStage.parseReport(spoilt, fields)), spoilt);
+        for (String invalid : List.of("", "x0=0.4", "x0=0.4,x1=NaN", "x0=0.4,x1=-1", "x0=Infinity,x1=2", "x0=0.4,x1", "=,,=")) {
+            assertEquals(List.of(), toList(SendStage.parseReport(invalid, fields)), invalid);
         }
     }
 
@@ -271,27 +272,27 @@
 
     @Test
     void aNoticeIsOneLineOfJson() {
-        TrackedRecord owed = addRecord("a\"b\\c\u0007");
-        recordStore.endRecord(owed, JournalEntry.RecordOutcome.BOUNCED, 500_000);
+        TrackedRecord record = addRecord("a\"b\\c\u0007");
+        recordStore.endRecord(record, JournalEntry.RecordOutcome.BOUNCED, 500_000);
         assertEquals("{\"ref\":\"a\\\"b\\\\c\\u0007\",\"result\":\"bounced\",\"wait_ms\":500}",
-                NotificationStage.formatNotice(owed));
+                NotificationStage.formatNotice(record));
     }
 
     @Test
     void aNoticeBatchIsFilledUpToTheBodyLimit() {
-        List<TrackedRecord> owing = new ArrayList<>();
+        List<TrackedRecord> records = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            TrackedRecord owed = intakeStage.createRecord(handover(String.format("%016x", i), 3, 1, NOW_MICROS));
-            owed.outcome = JournalEntry.RecordOutcome.BOUNCED;
-            owing.add(owed);
+            TrackedRecord record = intakeStage.createRecord(createRequest(String.format("%016x", i), 3, 1, NOW_MICROS));
+            record.outcome = JournalEntry.RecordOutcome.BOUNCED;
+            records.add(record);
         }
         StringBuilder lines = new StringBuilder();
-        List<TrackedRecord> batch = NotificationStage.nextBatch(owing, Integer.MAX_VALUE, limits.maxBodyBytes(), lines);
+        List<TrackedRecord> batch = NotificationStage.nextBatch(records, Integer.MAX_VALUE, limits.maxBodyBytes(), lines);
         assertTrue(batch.size() > 800, "records in one call: " + batch.size());
         assertTrue(lines.length() <= limits.maxBodyBytes() && lines.length() > limits.maxBodyBytes() - 100);
-        assertEquals(owing.subList(0, batch.size()), batch);
-        assertEquals(3, NotificationStage.nextBatch(owing, 3, limits.maxBodyBytes(), new StringBuilder()).size());
-        assertEquals(1, NotificationStage.nextBatch(owing, 3, 10, new StringBuilder()).size(),
+        assertEquals(records.subList(0, batch.size()), batch);
+        assertEquals(3, NotificationStage.nextBatch(records, 3, limits.maxBodyBytes(), new StringBuilder()).size());
+        assertEquals(1, NotificationStage.nextBatch(records, 3, 10, new StringBuilder()).size(),
                 "a batch holds at least one notice, however long it is");
     }
 
