--- a/src/test/java/terndyke/node/DeliveryNodeTest.java
+++ b/src/test/java/terndyke/node/DeliveryNodeTest.java
@@ -365,7 +365,7 @@
             } catch (IOException e) {
                 // closed by the node, as expected
             }
-            assertTrue(sent < 30_000_000, "the node read on for " + sent + " bytes");
+            assertTrue(sent < 30_000_000, "the node read on; bytes sent: " + sent);
         }
         assertEquals(200, requestHealth());
     }
@@ -753,7 +753,7 @@
         node.start();
         assertEquals("r-1", pollNext(receivedCalls).id());
         assertTrue(lastTimeoutMillis.get() <= deadlineMillis - (startMillis + 1_000) + 10,
-                "the call was sent with a timeout of " + lastTimeoutMillis + " ms");
+                lastTimeoutMillis + " ms given to the call, more than the record had left");
     }
 
     /** Once the node is ready, the platform waits 1.5 s for the notices of all records that timed out while the node was down. */
--- a/src/test/java/terndyke/node/MixedFleetTest.java
+++ b/src/test/java/terndyke/node/MixedFleetTest.java
@@ -203,8 +203,8 @@
         int doneByOld = done[0] + done[1];
         int doneByNew = done[2] + done[3];
         assertTrue(doneByOld + doneByNew > 2 * RECORDS_PER_NODE,
-                "too few records delivered: " + doneByOld + " by old settings, " + doneByNew + " by new ones");
+                "too few records delivered with old and with new settings: " + doneByOld + " and " + doneByNew);
         assertTrue(2 * doneByOld > doneByNew && 2 * doneByNew > doneByOld,
-                "uneven share of the rate limit: " + doneByOld + " by old settings, " + doneByNew + " by new ones");
+                "uneven shares with old and with new settings: " + doneByOld + " and " + doneByNew);
     }
 }
--- a/src/test/java/terndyke/node/stage/DecisionLoopTest.java
+++ b/src/test/java/terndyke/node/stage/DecisionLoopTest.java
@@ -70,8 +70,8 @@
             Thread thread = new Thread(decisionLoop);
             thread.start();
             CompletableFuture<Boolean> accepted = new CompletableFuture<>();
-            new Thread(() -> accepted.complete(decisionLoop.offerRequest(new ClientRequest("r-1", 0, 0, 0, 3, null, 4_000_000, false,
-                    false, new byte[0], new NodeClock().now(), responder)))).start();
+            new Thread(() -> accepted.complete(decisionLoop.offerRequest(new ClientRequest("r-1", 0, 0, 0, 3, null, 4_000_000,
+                    false, false, new byte[0], new NodeClock().now(), responder)))).start();
             requestBeingAdded.await();
             decisionLoop.post(new LoopEvent.ShutdownRequested());
             thread.join(30_000);
