--- a/src/main/java/terndyke/lab/load/MisbehavingClients.java
+++ b/src/main/java/terndyke/lab/load/MisbehavingClients.java
@@ -205,7 +205,7 @@
     /** The records of a flood, in the form of schedule entries. */
     public static List<Arrival> floodArrivals(Failure failure, String grade, String tenant, int destinations) {
         List<Arrival> arrivals = new ArrayList<>();
-        int count = (int) Math.round(failure.amount() * failure.lasts().seconds());
+        int count = (int) Math.round(failure.amount() * failure.duration().seconds());
         for (int i = 0; i < count; i++) {
             arrivals.add(new Arrival(failure.at().micros() + Math.round(i / failure.amount() * 1e6), grade, tenant, null,
                     i % destinations, 100));
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -193,7 +193,7 @@
                     createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
         } else if (!rateLimiter.tryAcquire(now)) {
             boolean sendsRetryAfter = random.nextDouble() < destination.configuration.limit().tellsWait();
-            long retryAfterMicros = Math.max(destination.configuration.limit().toldWait().micros(),
+            long retryAfterMicros = Math.max(destination.configuration.limit().retryAfter().micros(),
                     rateLimiter.nextPermitMicros(now) - now);
             reject(now + handshakeMicros, shot, sendsRetryAfter ? 429 : 503, sendsRetryAfter ? retryAfterMicros : 0);
         } else if (drawFailure(Kind.ERRORS)) {
--- a/src/main/java/terndyke/lab/plan/Experiment.java
+++ b/src/main/java/terndyke/lab/plan/Experiment.java
@@ -131,10 +131,10 @@
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record RateLimit(Double rate, Double burst, Integer count, TimeSpan span, Double tellsWait,
-            @JsonProperty("wait") TimeSpan toldWait) {
+            @JsonProperty("wait") TimeSpan retryAfter) {
         public RateLimit {
             tellsWait = orDefault(tellsWait, 0.0);
-            toldWait = orDefault(toldWait, TimeSpan.of("500ms"));
+            retryAfter = orDefault(retryAfter, TimeSpan.of("500ms"));
         }
     }
 
--- a/src/main/java/terndyke/lab/plan/ExperimentShrinker.java
+++ b/src/main/java/terndyke/lab/plan/ExperimentShrinker.java
@@ -96,16 +96,16 @@
     private Experiment shortenFailures(Experiment experiment) throws Exception {
         Experiment smallest = experiment;
         for (int i = 0; i < smallest.failures().size(); i++) {
-            while (smallest.failures().get(i).lasts().micros() / 2 >= 100_000) {
+            while (smallest.failures().get(i).duration().micros() / 2 >= 100_000) {
                 Failure failure = smallest.failures().get(i);
                 List<Failure> changed = new ArrayList<>(smallest.failures());
                 changed.set(i, new Failure(failure.kind(), failure.at(),
-                        new TimeSpan(failure.lasts().micros() / 2 / 1000 * 1000), failure.amount(), failure.on()));
+                        new TimeSpan(failure.duration().micros() / 2 / 1000 * 1000), failure.amount(), failure.on()));
                 if (!failsInEveryTry(smallest.withFailures(changed))) {
                     break;
                 }
                 smallest = smallest.withFailures(changed);
-                progressListener.accept("still fails with " + failure.kind().yamlName() + " for " + changed.get(i).lasts());
+                progressListener.accept("still fails with " + failure.kind().yamlName() + " for " + changed.get(i).duration());
             }
         }
         return smallest;
--- a/src/main/java/terndyke/lab/plan/Failure.java
+++ b/src/main/java/terndyke/lab/plan/Failure.java
@@ -8,7 +8,7 @@
 
 /** An injected failure: its kind, start, duration, amount and target. */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-public record Failure(Kind kind, TimeSpan at, @JsonProperty("for") TimeSpan lasts, Double amount, Target on) {
+public record Failure(Kind kind, TimeSpan at, @JsonProperty("for") TimeSpan duration, Double amount, Target on) {
 
     /** The part of the system that a kind of failure affects. */
     public enum TargetType { RECEIVER, DISCOVERY, NODE, CLIENT }
@@ -108,12 +108,12 @@
 
     public Failure {
         amount = amount != null ? amount : kind == null ? 0 : kind.defaultAmount;
-        lasts = lasts != null ? lasts : TimeSpan.of("3s");
+        duration = duration != null ? duration : TimeSpan.of("3s");
         on = on != null ? on : new Target(null, null, null, null, null, null);
     }
 
     public long endMicros() {
-        return at.micros() + lasts.micros();
+        return at.micros() + duration.micros();
     }
 
     /** Whether the failure affects the given node. */
--- a/src/main/java/terndyke/lab/report/Plots.java
+++ b/src/main/java/terndyke/lab/report/Plots.java
@@ -65,7 +65,7 @@
         int number = 0;
         for (Failure failure : experimentResult.experiment().failures()) {
             double from = failure.at().seconds();
-            double until = Math.min(seconds, from + Math.max(0.2, failure.lasts().seconds()));
+            double until = Math.min(seconds, from + Math.max(0.2, failure.duration().seconds()));
             if (from < seconds) {
                 XYSeries series = chart.addSeries(++number + " " + failure.kind().yamlName(), new double[] {from, until},
                         new double[] {top, top});
--- a/src/main/java/terndyke/lab/run/ExperimentRun.java
+++ b/src/main/java/terndyke/lab/run/ExperimentRun.java
@@ -283,7 +283,7 @@
             MisbehavingClients misbehavingClients) {
         changeActiveFailureCount(1);
         scheduler.schedule(start + failure.at().micros(), () -> {
-            progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(), failure.lasts());
+            progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(), failure.duration());
             if (failure.kind().targetType() == TargetType.NODE) {
                 for (int node = 0; node < nodes.size(); node++) {
                     if (failure.affectsNode(node)) {
@@ -328,7 +328,7 @@
                         logEvent(EventType.NODE_KILLED, node, null);
                         nodeUnderTest.sendSignal("KILL");
                         nodeUnderTest.awaitExit(5_000);
-                        restartNode(node, failure.lasts().millis());
+                        restartNode(node, failure.duration().millis());
                     }
                     case RESTART -> {
                         logEvent(EventType.NODE_TERM, node, null);
@@ -353,19 +353,19 @@
                             agent.moveToNewAddress();
                             nodeUnderTest.writeConfiguration();
                             nodeUnderTest.sendSignal("HUP");
-                            Thread.sleep(failure.lasts().millis() / times);
+                            Thread.sleep(failure.duration().millis() / times);
                         }
                     }
                     case FREEZE -> {
                         logEvent(EventType.NODE_FROZEN, node, null);
                         nodeUnderTest.sendSignal("STOP");
-                        Thread.sleep(failure.lasts().millis());
+                        Thread.sleep(failure.duration().millis());
                         nodeUnderTest.sendSignal("CONT");
                         logEvent(EventType.NODE_THAWED, node, null);
                     }
                     case DISK_FULL -> {
                         nodeUnderTest.setDiskFull(true);
-                        Thread.sleep(failure.lasts().millis());
+                        Thread.sleep(failure.duration().millis());
                         nodeUnderTest.setDiskFull(false);
                     }
                     default -> { }
--- a/src/main/java/terndyke/node/journal/JournalEntry.java
+++ b/src/main/java/terndyke/node/journal/JournalEntry.java
@@ -11,10 +11,10 @@
             long acceptedAt, long abandonAt, byte[] body) implements JournalEntry { }
 
     /** A shot is about to be sent to an endpoint of the zone. */
-    record ShotFired(long number, int shot, String endpointUid, int zone, long firedAt) implements JournalEntry { }
+    record ShotFired(long number, int shotIndex, String endpointUid, int zone, long firedAt) implements JournalEntry { }
 
     /** The ending of a shot is known. */
-    record ShotEnded(long number, int shot, Ending ending) implements JournalEntry { }
+    record ShotEnded(long number, int shotIndex, Ending ending) implements JournalEntry { }
 
     /** The record has its outcome; retryAfter is for a bounce. Bounced and terminated records still owe their notice. */
     record RecordEnded(long number, RecordOutcome outcome, long retryAfter) implements JournalEntry { }
--- a/src/main/java/terndyke/node/journal/JournalEntryCodec.java
+++ b/src/main/java/terndyke/node/journal/JournalEntryCodec.java
@@ -46,14 +46,14 @@
         } else if (entry instanceof JournalEntry.ShotFired shotFired) {
             out.writeByte(2);
             out.writeLong(shotFired.number());
-            out.writeInt(shotFired.shot());
+            out.writeInt(shotFired.shotIndex());
             writeText(out, shotFired.endpointUid());
             out.writeInt(shotFired.zone());
             out.writeLong(shotFired.firedAt());
         } else if (entry instanceof JournalEntry.ShotEnded shotEnded) {
             out.writeByte(3);
             out.writeLong(shotEnded.number());
-            out.writeInt(shotEnded.shot());
+            out.writeInt(shotEnded.shotIndex());
             out.writeByte(shotEnded.ending().ordinal());
         } else if (entry instanceof JournalEntry.RecordEnded recordEnded) {
             out.writeByte(4);
--- a/src/main/java/terndyke/node/stage/RecordStore.java
+++ b/src/main/java/terndyke/node/stage/RecordStore.java
@@ -55,10 +55,10 @@
             } else if (record == null) {
                 log.warn("journal: " + entry.getClass().getSimpleName() + " refers to a record that is not in the journal");
             } else if (entry instanceof JournalEntry.ShotFired shotFired) {
-                record.shots.add(new TrackedRecord.Shot(shotFired.shot(), -1, shotFired.endpointUid(), shotFired.zone(),
+                record.shots.add(new TrackedRecord.Shot(shotFired.shotIndex(), -1, shotFired.endpointUid(), shotFired.zone(),
                         shotFired.firedAt()));
             } else if (entry instanceof JournalEntry.ShotEnded shotEnded) {
-                record.shots.stream().filter(shot -> shot.number == shotEnded.shot())
+                record.shots.stream().filter(shot -> shot.number == shotEnded.shotIndex())
                         .forEach(shot -> shot.ending = shotEnded.ending());
             } else if (entry instanceof JournalEntry.RecordEnded recordEnded && record.outcome == null) {
                 applyEnd(record, recordEnded.outcome(), recordEnded.retryAfter());
--- a/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentFileTest.java
@@ -32,7 +32,7 @@
         assertEquals(4_000_000, experiment.length().micros());
         assertEquals(Experiment.RepeatSemantics.DEDUPLICATED, experiment.grades().get(1).effect());
         assertEquals(Failure.Kind.HANG, experiment.failures().get(0).kind());
-        assertEquals(500_000, experiment.failures().get(0).lasts().micros());
+        assertEquals(500_000, experiment.failures().get(0).duration().micros());
         assertEquals(experiment, ExperimentFile.read("again", ExperimentFile.toYaml(experiment)));
     }
 
--- a/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
+++ b/src/test/java/terndyke/lab/plan/ExperimentShrinkerTest.java
@@ -44,7 +44,7 @@
         assertEquals(culprits, failureKinds(smallest));
         assertEquals(2, smallest.failures().size());
         assertEquals(4_000_000, smallest.length().micros());
-        assertTrue(smallest.failures().stream().allMatch(failure -> failure.lasts().micros() < 200_000));
+        assertTrue(smallest.failures().stream().allMatch(failure -> failure.duration().micros() < 200_000));
     }
 
     @Test
