--- a/src/main/java/terndyke/api/DeliverySettings.java
+++ b/src/main/java/terndyke/api/DeliverySettings.java
@@ -7,7 +7,7 @@
  * each kind of destination.
  *
  * @param slots                      how many calls may be out at once
- * @param maxRetryAfter              the longest wait that a bounce may ask for; 0 if it may ask for none
+ * @param maxRetryAfter              the longest Retry-After of a bounce; 0 if a bounce may have none
  * @param allowanceReportIndex       index of the allowance in a load report, -1 if reports do not contain it
  * @param limitReportIndex           index of the rate limit in a load report, -1 if reports do not contain it
  * @param idleConnectionTimeout      the time after which an idle connection closes by itself
@@ -22,7 +22,7 @@
         boolean exponentialPayoffDecay, double overQuotaPayoffFactor,
         List<ServiceGrade> grades, List<Double> tenantQuotas, List<Boolean> independentRoutesByKind,
         List<Integer> maxRecordsPerCallByKind, int allowanceReportIndex, int limitReportIndex,
-        long drainGracePeriod, double overloadMultiple, long overloadWindow, double coldCapacityShare, long warmUpTime,
+        long drainGracePeriod, double overloadMultiple, long overloadWindow, double slowStartCapacityShare, long slowStartTime,
         long keyQuietPeriod, long answerSlack, long turnInterval, long idleConnectionTimeout,
         boolean reportsFinalAnswerDelivery, List<Double> hallFees, double zoneCrossingPrice, double newConnectionPrice) {
 
--- a/src/main/java/terndyke/decision/Dispatcher.java
+++ b/src/main/java/terndyke/decision/Dispatcher.java
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Takes over a record that the previous run of this node still owed, so that rules 2 and 5 hold across a restart: a
+     * Takes over a record that the previous run of this node did not finish, so that rules 2 and 5 hold across a restart: a
      * shot that was out when that run ended may have run.
      */
     private void restoreRecord(Event.RecordRestored restored) {
--- a/src/main/java/terndyke/decision/FailureDomain.java
+++ b/src/main/java/terndyke/decision/FailureDomain.java
@@ -7,12 +7,12 @@
 import terndyke.decision.PendingRecord.Call;
 
 /**
- * A unit that limits its load, asks for waits, fails and recovers as one: a single route where the routes of a destination
+ * A unit that limits its load, sends Retry-After, fails and recovers as one: a single route where the routes of a destination
  * are independent of each other, otherwise the whole destination. It learns the rate of calls that the unit takes, detects
  * outages ("suspect") and limits the calls during recovery. Times are microseconds, rates are calls per second.
  */
 final class FailureDomain {
-    private static final double COLD_BUDGET_SAFETY_FACTOR = 0.9; // the part of the rate allowed during recovery that is used
+    private static final double RECOVERY_BUDGET_SAFETY_FACTOR = 0.9; // the part of the rate allowed during recovery that is used
     static final long BASE_BACKOFF_MICROS = 1_000_000, // the first backoff, before jitter
             MIN_OUTAGE_MICROS = 5_000_000; // outages are taken to last no shorter; see Dispatcher.checkConnectionLimit
 
@@ -69,17 +69,17 @@
 
     /**
      * Rule 4: this node's rate while the destination is recovering. The part of the capacity that the destination has
-     * while it is cold, growing until it is warm, is divided among the nodes that noticed the outage.
+     * during its slow start, growing until it is complete, is divided among the nodes that noticed the outage.
      */
     private double recoveryRate(long now) {
-        double warmUpProgress = recoveredAt < 0 ? 0 : Math.min(1, (double) (now - recoveredAt) / settings.warmUpTime());
-        double capacityShare = settings.coldCapacityShare() + (1 - settings.coldCapacityShare()) * warmUpProgress;
+        double slowStartProgress = recoveredAt < 0 ? 0 : Math.min(1, (double) (now - recoveredAt) / settings.slowStartTime());
+        double capacityShare = settings.slowStartCapacityShare() + (1 - settings.slowStartCapacityShare()) * slowStartProgress;
         double totalRate = nodeRateShare() * settings.nodeCount(), minRate = 1e6 / settings.overloadWindow(); // one call a window
-        double callsSinceOutage = totalRate * Math.max(settings.warmUpTime(), now - suspectedAt) / 1e6; // by all nodes
+        double callsSinceOutage = totalRate * Math.max(settings.slowStartTime(), now - suspectedAt) / 1e6; // by all nodes
         double affectedNodes = Math.max(1, settings.nodeCount()
                 * (totalRate > 0 ? -Math.expm1(-callsSinceOutage / settings.nodeCount()) : 1));
-        return capacityShare * Math.max(COLD_BUDGET_SAFETY_FACTOR * settings.overloadMultiple() * totalRate,
-                minRate / settings.coldCapacityShare()) / affectedNodes;
+        return capacityShare * Math.max(RECOVERY_BUDGET_SAFETY_FACTOR * settings.overloadMultiple() * totalRate,
+                minRate / settings.slowStartCapacityShare()) / affectedNodes;
     }
 
     /** The learned rate, which grows with time from half a second after each reduction. */
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Rule 6: a wait that any outcome asks for applies to everything sent afterwards. */
+    /** Rule 6: the Retry-After of any outcome applies to everything sent afterwards. */
     void applyFeedback(long now, long retryAfter, float[] loadReport) {
         waitUntil = Math.max(waitUntil, now + retryAfter);
         reportedLimit = settings.limitReportIndex() >= 0 && settings.limitReportIndex() < loadReport.length
@@ -175,8 +175,8 @@
         successCount++;
         failureCount = isDown() ? 0 : failureCount;
         recoveredAt = isDown() ? now : recoveredAt;
-        // warmed up, or no call has failed: they were only overdue
-        if (isSuspect() && (now - recoveredAt >= settings.warmUpTime() || lastFailureAt < suspectedAt)) {
+        // slow start complete, or no call has failed: they were only overdue
+        if (isSuspect() && (now - recoveredAt >= settings.slowStartTime() || lastFailureAt < suspectedAt)) {
             log.accept("open after " + (now - suspectedAt) / 1000 + " ms of suspected outage");
             suspectedAt = -1;
         }
--- a/src/main/java/terndyke/decision/Route.java
+++ b/src/main/java/terndyke/decision/Route.java
@@ -49,8 +49,8 @@
 
     /**
      * Removes the route, and returns true, if it has been gone from the list for as long as outcomes are kept. Otherwise
-     * lists that keep naming new endpoints would fill the memory. A route whose wait is not over stays, so that the wait
-     * holds if the endpoint returns.
+     * lists that keep naming new endpoints would fill the memory. A route whose Retry-After is not over stays, so that
+     * it holds if the endpoint returns.
      */
     boolean removeIfExpired(long now) {
         return goneAt < now - OutcomeHistory.RETENTION_MICROS && now >= failureDomain.waitUntil
--- a/src/main/java/terndyke/lab/load/EmulatedClients.java
+++ b/src/main/java/terndyke/lab/load/EmulatedClients.java
@@ -27,7 +27,7 @@
 
 /**
  * The clients of an experiment. Each record is handed in when it is due; the client waits for the response for the
- * configured patience and hands the record in again under a new id if it was refused or got no response. Records of one
+ * configured time (patience) and hands the record in again under a new id if it was refused or got no response. Records of one
  * key are handed in one after another. Connections are kept open, and more are opened when all are busy.
  */
 public final class EmulatedClients {
@@ -263,7 +263,7 @@
             sendRequest(pendingRecord, handedInRecord.id());
         }
 
-        /** Sends a record; the client's patience starts now. */
+        /** Sends a record; the client's response timeout starts now. */
         void sendRequest(PendingRecord record, String id) {
             long now = TaskScheduler.nowMicros();
             long remainingMicros = Math.max(1, record.deadlineMicros() - now);
--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -273,9 +273,9 @@
         if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warmUpProgress = Math.min(1,
+        double slowStartProgress = Math.min(1,
                 (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
-        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warmUpProgress;
+        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * slowStartProgress;
     }
 
     private int availablePlaces(long now) {
--- a/src/main/java/terndyke/lab/plan/Experiment.java
+++ b/src/main/java/terndyke/lab/plan/Experiment.java
@@ -93,7 +93,7 @@
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record DestinationGroup(String kind, Integer count, Integer receivers, Boolean apart, Integer places,
             Integer queue, ServiceTimeDistribution service, RateLimit limit, Integer connections, TimeSpan handshake,
-            ColdStart cold, Boolean reports, Double share) {
+            SlowStart cold, Boolean reports, Double share) {
         public DestinationGroup {
             count = orDefault(count, 1);
             receivers = orDefault(receivers, 2);
@@ -103,7 +103,7 @@
             service = orDefault(service, new ServiceTimeDistribution(null, null, null, null));
             connections = orDefault(connections, 128);
             handshake = orDefault(handshake, TimeSpan.ZERO);
-            cold = orDefault(cold, new ColdStart(null, null, null, null));
+            cold = orDefault(cold, new SlowStart(null, null, null, null));
             reports = orDefault(reports, false);
             share = orDefault(share, 1.0);
         }
@@ -127,7 +127,7 @@
 
     /**
      * The limit on the calls of all nodes together: a rate with a burst, or a count per time span. The share tellsWait of
-     * the rejections carries a wait.
+     * the rejections carries a Retry-After.
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record RateLimit(Double rate, Double burst, Integer count, TimeSpan span, Double tellsWait,
@@ -143,8 +143,8 @@
      * them, and the load (a multiple of its capacity, within a time span) that makes it fail again.
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
-    public record ColdStart(Double share, TimeSpan warm, Double fallMultiple, TimeSpan fallWithin) {
-        public ColdStart {
+    public record SlowStart(Double share, TimeSpan warm, Double fallMultiple, TimeSpan fallWithin) {
+        public SlowStart {
             share = orDefault(share, 0.3);
             warm = orDefault(warm, TimeSpan.of("6s"));
             fallMultiple = orDefault(fallMultiple, 2.0);
--- a/src/main/java/terndyke/lab/referee/Referee.java
+++ b/src/main/java/terndyke/lab/referee/Referee.java
@@ -99,7 +99,7 @@
                 period[1] = event.at();
             }
         }
-        retryAfterPeriods.keySet().removeIf(key -> key.startsWith(event.node() + "/")); // a restart ends the waits
+        retryAfterPeriods.keySet().removeIf(key -> key.startsWith(event.node() + "/")); // a restart ends them
     }
 
     private void onHandedIn(ObservedEvent event) {
@@ -254,7 +254,7 @@
             boolean independentRoutes = rules.independentRoutesByDestination().get(event.destination());
             String scope = event.node() + "/" + (independentRoutes ? event.uid() : Integer.toString(event.destination()));
             List<RetryAfterPeriod> periods = retryAfterPeriods.computeIfAbsent(scope, key -> new ArrayList<>());
-            periods.removeIf(period -> period.untilMicros < event.at()); // a later wait does not cancel an earlier one
+            periods.removeIf(period -> period.untilMicros < event.at()); // a later one does not cancel an earlier one
             periods.add(new RetryAfterPeriod(event.at(), event.at() + event.toldWait(), event.uid()));
         }
     }
--- a/src/main/java/terndyke/lab/run/ExperimentRun.java
+++ b/src/main/java/terndyke/lab/run/ExperimentRun.java
@@ -283,7 +283,8 @@
             MisbehavingClients misbehavingClients) {
         changeActiveFailureCount(1);
         scheduler.schedule(start + failure.at().micros(), () -> {
-            progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(), failure.duration());
+            progress.printf("%6.1f s  %s begins, for %s%n", failure.at().seconds(), failure.kind().yamlName(),
+                    failure.duration());
             if (failure.kind().targetType() == TargetType.NODE) {
                 for (int node = 0; node < nodes.size(); node++) {
                     if (failure.affectsNode(node)) {
--- a/src/main/java/terndyke/lab/run/NodeConfigurationWriter.java
+++ b/src/main/java/terndyke/lab/run/NodeConfigurationWriter.java
@@ -86,10 +86,10 @@
         double overloadSeconds = experiment.destinations().stream().mapToDouble(group -> group.cold().fallWithin().seconds())
                 .min().orElse(2);
         double coldShare = experiment.destinations().stream().mapToDouble(group -> group.cold().share()).min().orElse(0.2);
-        double warmUpSeconds = experiment.destinations().stream()
+        double slowStartSeconds = experiment.destinations().stream()
                 .mapToDouble(group -> group.cold().warm().seconds()).max().orElse(11);
         settings.putObject("obligations").put("stopSendingWithin", 2.0).put("fallMultiple", overloadMultiple)
-                .put("overloadFor", overloadSeconds).put("coldShare", coldShare).put("cold", warmUpSeconds)
+                .put("overloadFor", overloadSeconds).put("coldShare", coldShare).put("cold", slowStartSeconds)
                 .put("keyQuiet", 0.1).put("answerSlack", 0.02);
         ArrayNode tenants = settings.putArray("tenants");
         for (Tenant tenant : experiment.tenants()) {
--- a/src/main/java/terndyke/lab/standin/StandInNode.java
+++ b/src/main/java/terndyke/lab/standin/StandInNode.java
@@ -53,7 +53,7 @@
     private static final byte[] EMPTY_BODY = new byte[0];
     private static final long BACKOFF_MICROS = 250_000;
     private static final long CALL_TIMEOUT_MICROS = 1_500_000;
-    private static final long WARM_UP_MICROS = 4_000_000;
+    private static final long SLOW_START_MICROS = 4_000_000;
 
     private final InetSocketAddress listenAddress;
     private final SocketReactor reactor;
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public boolean awaitReady(long patienceMillis) {
+    public boolean awaitReady(long timeoutMillis) {
         return true;
     }
 
@@ -167,8 +167,8 @@
     }
 
     @Override
-    public boolean awaitExit(long patienceMillis) throws InterruptedException {
-        return endLatch.await(patienceMillis, TimeUnit.MILLISECONDS);
+    public boolean awaitExit(long timeoutMillis) throws InterruptedException {
+        return endLatch.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -245,7 +245,7 @@
 
     /** After a failure, an endpoint gets only one call per backoff interval until it has warmed up. */
     private void limitRateWhileWarmingUp(Endpoint endpoint, long now) {
-        if (now < endpoint.failedAtMicros + WARM_UP_MICROS && fault != Fault.PUSHES) {
+        if (now < endpoint.failedAtMicros + SLOW_START_MICROS && fault != Fault.PUSHES) {
             endpoint.backoffUntilMicros = now + BACKOFF_MICROS;
         }
     }
--- a/src/main/java/terndyke/node/DeliveryNode.java
+++ b/src/main/java/terndyke/node/DeliveryNode.java
@@ -107,7 +107,7 @@
                 loop.post(new LoopEvent.DiscoveryAddressChanged(reloadedDiscoveryAddress));
             }
         } catch (IOException | RuntimeException e) {
-            log.warn("configuration not taken up, keeping the current one: " + e.getMessage());
+            log.warn("configuration rejected, keeping the current one: " + e.getMessage());
         }
     }
 
--- a/src/main/java/terndyke/node/journal/JournalEntry.java
+++ b/src/main/java/terndyke/node/journal/JournalEntry.java
@@ -16,10 +16,10 @@
     /** The ending of a shot is known. */
     record ShotEnded(long number, int shotIndex, Ending ending) implements JournalEntry { }
 
-    /** The record has its outcome; retryAfter is for a bounce. Bounced and terminated records still owe their notice. */
+    /** The record has its outcome; retryAfter is for a bounce. Bounced and terminated records still need a notice. */
     record RecordEnded(long number, RecordOutcome outcome, long retryAfter) implements JournalEntry { }
 
-    /** The platform has answered the notice of the record's outcome, or no notice is owed. */
+    /** The platform has answered the notice of the record's outcome, or no notice is needed. */
     record NoticeAnswered(long number) implements JournalEntry { }
 
     /** How a record ended. */
--- a/src/main/java/terndyke/node/stage/AdmissionStage.java
+++ b/src/main/java/terndyke/node/stage/AdmissionStage.java
@@ -28,7 +28,7 @@
 
     /**
      * Returns true if the request goes on to the next stage; otherwise it has been answered here. A repeat is answered as
-     * accepted only if it is for the same record. This guards against clients that submit content of their own under the
+     * accepted only if it is for the same record. This guards against clients that hand in content of their own under the
      * open id of another client: if theirs arrives first, the other client's record would be mistaken for a repeat of it, be
      * lost, and be overtaken by later records of its key (rules 1 and 5). A client that alters a record between repeats
      * may be refused for it.
@@ -39,7 +39,7 @@
             counters.add(Counter.REPEATS);
             if (knownRecord.isSameRecord(request)) {
                 answerDuplicate(knownRecord, request.responder());
-            } else { // another record under an id in use: its client may submit it again under an id of its own
+            } else { // another record under an id in use: its client may hand it in again under an id of its own
                 request.responder().refused(0);
             }
         } else if (!endpointRegistry.hasDestination(request.destination())) {
--- a/src/main/java/terndyke/node/stage/DecisionLoop.java
+++ b/src/main/java/terndyke/node/stage/DecisionLoop.java
@@ -43,7 +43,7 @@
     private final AtomicInteger queuedRequestCount = new AtomicInteger();
     private final TimerQueue timers = new TimerQueue();
     private final Map<Long, TrackedRecord> newRecords = new LinkedHashMap<>(); // admitted in this turn, not yet in the journal
-    private final List<TrackedRecord> recoveredRecords = new ArrayList<>(); // not yet passed to the decision module
+    private final List<TrackedRecord> restoredRecords = new ArrayList<>(); // not yet passed to the decision module
     private final List<ClientRequest> deferredRequests = new ArrayList<>(); // received before discovery was resolved
     private final IntakeStage intakeStage;
     private final AdmissionStage admissionStage;
@@ -147,7 +147,7 @@
                 notificationStage.endRecord(record, JournalEntry.RecordOutcome.TERMINATED, 0);
                 continue;
             }
-            recoveredRecords.add(record);
+            restoredRecords.add(record);
             if (!record.isOpen()) {
                 notificationStage.restore(record);
             }
@@ -163,8 +163,8 @@
         if (isDiscoveryResolved() || !watch.hasCompletedFirstCall()) {
             return;
         }
-        recoveredRecords.forEach(record -> sendStage.restore(record, now));
-        recoveredRecords.clear();
+        restoredRecords.forEach(record -> sendStage.restore(record, now));
+        restoredRecords.clear();
         deferredRequests.forEach(request -> handleClientRequest(request, now));
         deferredRequests.clear();
         discoveryResolved.countDown();
@@ -333,8 +333,8 @@
     }
 
     /**
-     * Withdraws the record of a client that disconnected before its answer, as that client may submit it again under
-     * another id. Only the record that this client itself submitted is withdrawn: a client that repeated another one's id
+     * Withdraws the record of a client that disconnected before its answer, as that client may hand it in again under
+     * another id. Only the record that this client itself handed in is withdrawn: a client that repeated another one's id
      * leaves that record as it is.
      */
     private void handleClientDisconnect(ClientRequest request, long now) {
@@ -392,7 +392,7 @@
         recordStore.clearReservations();
     }
 
-    /** Refuses the new records of a turn that failed. They are not in the journal, so the node owes them nothing. */
+    /** Refuses the new records of a turn that failed. They are not in the journal, so the node is not responsible for them. */
     private void refuseNewRecords() {
         for (TrackedRecord record : newRecords.values()) {
             notificationStage.answerRefused(record, 0);
--- a/src/main/java/terndyke/node/stage/LoopEvent.java
+++ b/src/main/java/terndyke/node/stage/LoopEvent.java
@@ -10,7 +10,7 @@
 /** An event for the decision thread, posted by another thread. Times are on the node's clock, in whole microseconds. */
 public sealed interface LoopEvent {
 
-    /** A client submitted a record. */
+    /** A client handed in a record. */
     record RequestReceived(ClientRequest clientRequest) implements LoopEvent { }
 
     /** A client disconnected before it was answered. */
--- a/src/test/java/terndyke/decision/FleetTest.java
+++ b/src/test/java/terndyke/decision/FleetTest.java
@@ -24,8 +24,8 @@
 class FleetTest {
     private static final long STEP_MICROS = 5_000;
     private static final long SECOND_MICROS = 1_000_000;
-    private static final double COLD_CAPACITY_SHARE = 0.2; // this and the warm-up time as in DispatcherFixture.settings
-    private static final long WARM_UP_MICROS = 10 * SECOND_MICROS;
+    private static final double SLOW_START_CAPACITY_SHARE = 0.2; // this and the slow start time as in DispatcherFixture.settings
+    private static final long SLOW_START_MICROS = 10 * SECOND_MICROS;
     private static final long RECORD_LIFETIME_MICROS = 10 * SECOND_MICROS; // until its abandon time
 
     /**
@@ -108,8 +108,9 @@
 
         /** The capacity of the endpoint at that time, in calls per second. */
         double capacity(long at) {
-            double warmUpProgress = at < downUntil ? 1 : Math.min(1, (double) (at - downUntil) / WARM_UP_MICROS);
-            return callsPerSecondLimit.applyAsDouble(at) * (COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * warmUpProgress);
+            double slowStartProgress = at < downUntil ? 1 : Math.min(1, (double) (at - downUntil) / SLOW_START_MICROS);
+            return callsPerSecondLimit.applyAsDouble(at)
+                    * (SLOW_START_CAPACITY_SHARE + (1 - SLOW_START_CAPACITY_SHARE) * slowStartProgress);
         }
 
         SimulatedFleet run(int seconds) {
--- a/src/test/java/terndyke/lab/model/ReceiverTest.java
+++ b/src/test/java/terndyke/lab/model/ReceiverTest.java
@@ -16,7 +16,7 @@
 
 import terndyke.lab.model.Response.ResponseMode;
 import terndyke.lab.model.Receiver.ConnectOutcome;
-import terndyke.lab.plan.Experiment.ColdStart;
+import terndyke.lab.plan.Experiment.SlowStart;
 import terndyke.lab.plan.Experiment.DestinationGroup;
 import terndyke.lab.plan.Experiment.RateLimit;
 import terndyke.lab.plan.Experiment.ServiceTimeDistribution;
@@ -58,7 +58,7 @@
     private final RecordingListener listener = new RecordingListener();
 
     private static DestinationGroup shopDestinations(int places, int queue, ServiceTimeDistribution service, RateLimit limit,
-            ColdStart cold) {
+            SlowStart cold) {
         return new DestinationGroup("shop", 1, 2, false, places, queue, service, limit, 100, null, cold, false, null);
     }
 
@@ -187,7 +187,7 @@
 
     @Test
     void aColdReceiverCollapsesWhenOverloadedAndOnlyThen() {
-        ColdStart cold = new ColdStart(0.5, TimeSpan.of("10s"), 2.0, TimeSpan.of("1s"));
+        SlowStart cold = new SlowStart(0.5, TimeSpan.of("10s"), 2.0, TimeSpan.of("1s"));
         // 50 and 500 calls per second; with half of its places the receiver can execute 100
         for (int intervalMicros : new int[] {20_000, 2_000}) {
             Receiver receiver = receiver(shopDestinations(2, 100, TEN_MS, null, cold));
