--- a/src/main/java/terndyke/lab/model/Receiver.java
+++ b/src/main/java/terndyke/lab/model/Receiver.java
@@ -193,7 +193,7 @@
                     createResponse(now, shot, 503, 0, ResponseMode.CONNECTION_REJECTED), false);
         } else if (!rateLimiter.tryAcquire(now)) {
             boolean sendsRetryAfter = random.nextDouble() < destination.configuration.limit().tellsWait();
-            long retryAfterMicros = Math.max(destination.configuration.limit().toldWait().micros(),
+            long retryAfterMicros = Math.max(destination.configuration.limit().retryAfter().micros(),
                     rateLimiter.nextPermitMicros(now) - now);
             reject(now + handshakeMicros, shot, sendsRetryAfter ? 429 : 503, sendsRetryAfter ? retryAfterMicros : 0);
         } else if (drawFailure(Kind.ERRORS)) {
@@ -273,9 +273,9 @@
         if (recoveredAtMicros == Long.MIN_VALUE) {
             return 1;
         }
-        double warmUpProgress = Math.min(1,
+        double slowStartProgress = Math.min(1,
                 (now - recoveredAtMicros) / (double) Math.max(1, destination.configuration.cold().warm().micros()));
-        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * warmUpProgress;
+        return destination.configuration.cold().share() + (1 - destination.configuration.cold().share()) * slowStartProgress;
     }
 
     private int availablePlaces(long now) {
